--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -16,7 +16,7 @@
 from pepperlatch.console.rows import JobRow, Query, plain
 from pepperlatch.constants import console as c
 from pepperlatch.controller.store import Entry, Replica
-from pepperlatch.controller.users import Progress, standing_reason
+from pepperlatch.controller.users import JobProgress, recorded_reason
 from pepperlatch.policy.model import Job, Machine, Status
 from pepperlatch.policy.reasons import PLACING, Reason, Why
 from pepperlatch.protocol import wire
@@ -275,13 +275,18 @@
 
 
 def of_record(
-    job_id: str, entry: Entry, replica: Replica, wall: float, held: JobRow | None = None, told: Progress | None = None
+    job_id: str,
+    entry: Entry,
+    replica: Replica,
+    wall: float,
+    held: JobRow | None = None,
+    told: JobProgress | None = None,
 ) -> JobRow | None:
     """A job that the leader does not work on, from its record alone: it waits for others, or is over.
 
     `told`: what a node that does not lead was told of it by the leader.
     """
-    spec, reason = entry.record.spec, standing_reason(replica, job_id)
+    spec, reason = entry.record.spec, recorded_reason(replica, job_id)
     if entry.state in wire.FINAL:
         if held is None:
             return None
--- a/pepperlatch/controller/admin.py
+++ b/pepperlatch/controller/admin.py
@@ -25,7 +25,7 @@
     return Response(503, {"error": error}, {"Retry-After": str(c.RETRY_AFTER_S)})
 
 
-class Admin:
+class AdminApi:
     def __init__(self, watched: Watched, state: StateClient, view: Callable[[], dict[str, Any]]) -> None:
         self._watched = watched
         self._state = state
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -12,7 +12,7 @@
 
 from pepperlatch import __version__
 from pepperlatch.constants import core as c
-from pepperlatch.controller.admin import Admin
+from pepperlatch.controller.admin import AdminApi
 from pepperlatch.controller.contacts import PEER_BAR, PEER_CONTACT, Contacts
 from pepperlatch.controller.extensions import Extension, ExtensionContext, Extensions, LeaderSnapshot
 from pepperlatch.controller.heartbeats.forwarding import PEER_HEARTBEAT, PEER_HEARTBEATS
@@ -23,7 +23,7 @@
 from pepperlatch.controller.owner import Owner
 from pepperlatch.controller.peers import PEER_FENCE, PEER_INSPECT, Peers
 from pepperlatch.controller.store import Replica, Watched
-from pepperlatch.controller.users import Progress, Users
+from pepperlatch.controller.users import JobProgress, UserApi
 from pepperlatch.controller.vouching import PEER_CANCELLED, PEER_VOUCH, Vouching
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.reasons import Reason, Why
@@ -69,8 +69,8 @@
         self.heartbeats = HeartbeatHandler(
             settings, network, clock, self.owner, self.replica, self.state, hold_s, lambda: self.leader
         )
-        self.users = Users(settings, self.watched, self.state, wall, self._progress, self.vouching.tell)
-        self.admin = Admin(self.watched, self.state, self.view)
+        self.users = UserApi(settings, self.watched, self.state, wall, self._progress, self.vouching.tell)
+        self.admin = AdminApi(self.watched, self.state, self.view)
         core = ExtensionContext(
             settings, self.users, self.watched, self.state, wall, clock, network, lambda: self.leader,
             lambda: LeaderSnapshot(self.heartbeats.contact.at, self._progress),
@@ -193,17 +193,17 @@
         follower = batch.node if self._peer(batch.node) is not None else ""
         return Response(200, {"answers": await self.heartbeats.lead_all(batch.beats, follower)})
 
-    def _progress(self, job_id: str) -> Progress | None:
+    def _progress(self, job_id: str) -> JobProgress | None:
         if self.leader is not None:
             job = self.leader.cluster.jobs.get(job_id)
             if job is None:
                 return None
-            return Progress(job.running(), len(job.done), job.reason, self._clock() - job.reason_since)
+            return JobProgress(job.running(), len(job.done), job.reason, self._clock() - job.reason_since)
         row = self.heartbeats.contact.jobs.get(job_id)
         if not row:
             return None
         reason = Reason(Why.UNKNOWN, said=row[2])  # the leader's own words, whatever its version
-        return Progress(row[0], row[1], reason, row[3] + self._clock() - self.heartbeats.contact.at)
+        return JobProgress(row[0], row[1], reason, row[3] + self._clock() - self.heartbeats.contact.at)
 
     async def _health_loop(self) -> None:
         """Only while this node has no good answer itself does it ask whether the others do."""
--- a/pepperlatch/controller/extensions.py
+++ b/pepperlatch/controller/extensions.py
@@ -18,7 +18,7 @@
 from pepperlatch.controller import store
 from pepperlatch.controller.leadership import Term
 from pepperlatch.controller.store import Watched
-from pepperlatch.controller.users import Progress, Users
+from pepperlatch.controller.users import JobProgress, UserApi
 from pepperlatch.policy.events import Listener, Nobody
 from pepperlatch.policy.model import Attempt, Job, Machine
 from pepperlatch.protocol.http.client import Network
@@ -37,7 +37,7 @@
     """What a node that does not lead knows from the leader: when it asked, and of each job what was answered."""
 
     requested_at: float
-    progress: Callable[[str], Progress | None]
+    progress: Callable[[str], JobProgress | None]
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
     """What a part may use of the node that it runs in."""
 
     settings: Settings
-    users: Users
+    users: UserApi
     watched: Watched
     state: StateClient
     wall: Callable[[], float]
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -26,10 +26,10 @@
 log = logging.getLogger(__name__)
 
 
-Tell = Callable[[str, store.JobRecord, int], Awaitable[None]]
+CancellationNotifier = Callable[[str, store.JobRecord, int], Awaitable[None]]
 
 
-async def nobody(job_id: str, record: store.JobRecord, version: int) -> None:
+async def notify_nobody(job_id: str, record: store.JobRecord, version: int) -> None:
     """Nobody else is told of a cancellation."""
 
 
@@ -37,12 +37,12 @@
     """Answered with 400."""
 
 
-class Impossible(Exception):
+class Unsatisfiable(Exception):
     """Answered with 422."""
 
 
 @dataclass(slots=True)
-class Progress:
+class JobProgress:
     """What the leader shows users beyond the protocol; may be a little old, never needed to answer."""
 
     running: int
@@ -99,22 +99,22 @@
 def check_possible(spec: JobSpec, settings: Settings, types: list[MachineType]) -> None:
     team = next((t for t in settings.params.teams if t.name == spec.team), None)
     if team is None:
-        raise Impossible("unknown team")
+        raise Unsatisfiable("unknown team")
     if beyond := beyond_limit(spec, team):
-        raise Impossible(beyond)
+        raise Unsatisfiable(beyond)
     fitting = [t for t in types if fits_type(spec, t) and (spec.types is None or t.name in spec.types)]
     if not fitting:
         allowed = "any" if spec.types is None else ", ".join(spec.types[: c.NAMES_SHOWN])
-        raise Impossible(f"a task of {reasons.each(spec)} fits no allowed machine type ({allowed})")
+        raise Unsatisfiable(f"a task of {reasons.each(spec)} fits no allowed machine type ({allowed})")
     if spec.zone is not None and not any(spec.zone in t.zones for t in fitting):
-        raise Impossible(f"no machine type that a task fits exists in zone {spec.zone[: c.NAME_SHOWN]}")
+        raise Unsatisfiable(f"no machine type that a task fits exists in zone {spec.zone[: c.NAME_SHOWN]}")
     if spec.spread and spec.tasks > 1 and spec.kind is not Kind.ARRAY:  # all at once, half of them in one zone at most
         zones = {zone for t in fitting for zone in t.zones if spec.zone in (None, zone)}
         if spec.one_zone or len(zones) < 2:
-            raise Impossible("its tasks must be apart, and there is only one zone for them all")
+            raise Unsatisfiable("its tasks must be apart, and there is only one zone for them all")
 
 
-def standing_reason(replica: Replica, job_id: str) -> Reason | None:
+def recorded_reason(replica: Replica, job_id: str) -> Reason | None:
     """What the records alone say of a job: it waits for others, or was cancelled with one that it needs."""
     entry = replica.jobs[job_id]
     if entry.state in wire.FINAL:
@@ -124,14 +124,14 @@
     return Reason(Why.NEEDS, names=tuple(waits_for)) if waits_for else None
 
 
-def later() -> Response:
+def retry_later() -> Response:
     return Response(503, {"error": "cannot be decided now"}, {"Retry-After": str(c.RETRY_AFTER_S)})
 
 
-class Users:
+class UserApi:
     def __init__(
         self, settings: Settings, watched: Watched, state: StateClient, wall: Callable[[], float],
-        progress: Callable[[str], Progress | None], tell: Tell = nobody,
+        progress: Callable[[str], JobProgress | None], tell: CancellationNotifier = notify_nobody,
     ) -> None:  # fmt: skip
         self._settings = settings
         self._watched = watched
@@ -157,7 +157,7 @@
                 if verb == "" and request.method == "GET":
                     return await self.poll(job_id)
         except (Away, Unsure):
-            return later()
+            return retry_later()
         return Response(404, {"error": "no such path"})
 
     # --- submitting -------------------------------------------------------------------------------
@@ -173,21 +173,21 @@
             return Response(400, {"error": str(error)})
         job_id = wire.job_id_of(value)
         if isinstance(job_id, str) and job_id in self._replica.jobs:
-            return await self._known(job_id) or later()
+            return await self._known(job_id) or retry_later()
         try:
             spec = self.check(value)
         except Malformed as error:
             return await self._known(job_id) or Response(400, {"error": str(error)})
-        except Impossible as error:
+        except Unsatisfiable as error:
             return await self._known(job_id) or Response(422, {"error": str(error)})
         if spec is None:
-            return await self._known(job_id) or later()
-        wrong = await self.wrong_need(spec)
+            return await self._known(job_id) or retry_later()
+        wrong = await self.find_invalid_dependency(spec)
         if wrong is not None:
             return await self._known(job_id) or Response(422, {"error": wrong})
         return await self._create(spec)
 
-    async def wrong_need(self, spec: JobSpec) -> str | None:
+    async def find_invalid_dependency(self, spec: JobSpec) -> str | None:
         """What is wrong with the jobs named; only a current reading may say that one was never accepted."""
         needs = spec.needs or []
         if any(name not in self._replica.jobs for name in needs):
@@ -203,7 +203,7 @@
     def check(self, value: Any) -> JobSpec | None:
         """The sound description; None if this node cannot tell because it knows no machine types yet.
 
-        Raises Malformed or Impossible if it will never be one.
+        Raises Malformed or Unsatisfiable if it will never be one.
         """
         spec = check_job(value)
         limits = self._settings.params.state
@@ -229,17 +229,17 @@
 
     async def _create(self, spec: JobSpec) -> Response:
         if len(self._queue) >= self._state.writes_within(c.SUBMIT_WAIT_S):  # its turn would not come in time
-            return later()
+            return retry_later()
         parts = store.parts_of(spec, self._settings.params.state.value_kb)
         submission = self._queue.setdefault(spec.id, _Submission(spec, parts=parts))  # twice in flight: one conflicts
         self._wake.set()
         with trio.move_on_after(c.SUBMIT_WAIT_S):
             await submission.settled.wait()
         if submission.created is None:
-            return later()
+            return retry_later()
         if submission.created:
             return Response(201, wire.job_answer(spec.id, JobState.QUEUED))
-        return await self._known(spec.id) or later()
+        return await self._known(spec.id) or retry_later()
 
     async def create_loop(self) -> None:
         """Submissions that wait together are committed together; a slow answer holds up few of those behind it."""
@@ -313,10 +313,10 @@
         tasks = entry.record.tasks
         if entry.state in wire.FINAL:
             answer = wire.job_answer(job_id, entry.state, tasks if entry.state is JobState.DONE else 0, 0)
-            if (reason := standing_reason(self._replica, job_id)) is not None:
+            if (reason := recorded_reason(self._replica, job_id)) is not None:
                 answer["reason"] = reason.text()
             return answer
-        waits_for = standing_reason(self._replica, job_id)
+        waits_for = recorded_reason(self._replica, job_id)
         progress = self._progress(job_id) if waits_for is None else None
         if progress is None:
             answer = wire.job_answer(job_id, JobState.QUEUED, 0, 0)
@@ -353,4 +353,4 @@
                     self._watched.learn([(job_id, record, outcome.revision)])
                     await self._tell(job_id, record, outcome.revision)
                     return Response(200, wire.job_answer(job_id, JobState.CANCELLED))
-        return later()
+        return retry_later()
--- a/pepperlatch/pipelines/part.py
+++ b/pepperlatch/pipelines/part.py
@@ -12,7 +12,7 @@
 from pepperlatch.constants import pipelines as c
 from pepperlatch.controller.extensions import Extension, ExtensionContext
 from pepperlatch.controller.leadership import Term
-from pepperlatch.controller.users import later
+from pepperlatch.controller.users import retry_later
 from pepperlatch.pipelines import keys
 from pepperlatch.protocol.http.server import Request, Response
 from pepperlatch.protocol.state import Away, Unsure
@@ -49,7 +49,7 @@
                 return await self._service().handle(request)
             except (Away, Unsure):
                 pass
-        return later()
+        return retry_later()
 
     async def run(self) -> None:
         """Holds what is brought on in the background; whatever ends it leaves runs that anyone can take up."""
--- a/pepperlatch/pipelines/scheduler.py
+++ b/pepperlatch/pipelines/scheduler.py
@@ -13,7 +13,7 @@
 
 from pepperlatch.constants import pipelines as c
 from pepperlatch.controller.extensions import ExtensionContext
-from pepperlatch.controller.users import later
+from pepperlatch.controller.users import retry_later
 from pepperlatch.pipelines import keys, runs, schedules
 from pepperlatch.pipelines import plan as plans
 from pepperlatch.pipelines.plan import BadPlan, Plan
@@ -57,7 +57,7 @@
             return Response(200, self._row(name, record))
         if (method, verb) == ("DELETE", ""):
             outcome = await self._service.commit(schedules.removed(name, version, record))
-            return Response(200, {"schedule": name, "removed": True}) if outcome.applied else later()
+            return Response(200, {"schedule": name, "removed": True}) if outcome.applied else retry_later()
         if method == "POST" and verb in ("pause", "resume"):
             return await self._pause(name, record, version, verb == "pause")
         return Response(404, {"error": "no such path"})
@@ -100,7 +100,7 @@
         pieces = held.pieces if held is not None else 0
         await self._service.room(1)
         outcome = await self._service.commit(schedules.kept(name, version, record, packed, pieces, self._value_kb))
-        return Response(200, self._row(name, record)) if outcome.applied else later()
+        return Response(200, self._row(name, record)) if outcome.applied else retry_later()
 
     async def _pause(self, name: str, record: ScheduleRecord, version: int, paused: bool) -> Response:
         """What would have been due while it was paused is not run afterwards."""
@@ -109,7 +109,7 @@
             record = msgspec.structs.replace(record, paused=paused, after=after)
             outcome = await self._service.commit(schedules.moved(name, version, record))
             if not outcome.applied:
-                return later()
+                return retry_later()
         return Response(200, self._row(name, record))
 
     async def _read(self, name: str) -> tuple[ScheduleRecord, int] | None:
--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -20,7 +20,7 @@
 from pepperlatch.constants import pipelines as c
 from pepperlatch.controller import store
 from pepperlatch.controller.extensions import ExtensionContext
-from pepperlatch.controller.users import Impossible, Malformed, later
+from pepperlatch.controller.users import Malformed, Unsatisfiable, retry_later
 from pepperlatch.pipelines import keys, runs
 from pepperlatch.pipelines import plan as plans
 from pepperlatch.pipelines.plan import BadPlan, Plan
@@ -131,7 +131,7 @@
             await self.commit(change)
             held = await self._read(plan.address)
             if held is None:
-                return later()
+                return retry_later()
             log.info("run %s: %d steps", plan.address, len(plan.steps))
         if held.run.digest != digest:
             differs = plans.differences(held.plan, plan)
@@ -155,7 +155,7 @@
             spec = named[step.name]
             wrong = self._wrong(spec)
             if wrong is None and step.jobs:
-                need = await self._core.users.wrong_need(msgspec.structs.replace(spec, needs=step.jobs))
+                need = await self._core.users.find_invalid_dependency(msgspec.structs.replace(spec, needs=step.jobs))
                 wrong = (422, need) if need is not None else None
             if wrong is not None:
                 place = f"steps[{number}]"
@@ -172,7 +172,7 @@
                 raise Away("the machine types are not known yet")
         except Malformed as error:
             return 400, str(error)
-        except Impossible as error:
+        except Unsatisfiable as error:
             return 422, str(error)
         return None
 
@@ -232,7 +232,7 @@
         if held.run.phase in (Phase.OPEN, Phase.SENT):
             outcome = await self.commit(runs.moved(address, held.run, held.version, Phase.CANCELLING))
             if not outcome.applied:
-                return later()
+                return retry_later()
             held = await self._read(address) or held
         answer = await self._settled(held)
         return Response(200, answer.body) if answer.status == 422 else answer
--- a/tests/gangs/test_limits.py
+++ b/tests/gangs/test_limits.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from pepperlatch.controller.users import Impossible, check_possible
+from pepperlatch.controller.users import Unsatisfiable, check_possible
 from pepperlatch.policy import quota
 from pepperlatch.policy.model import Job
 from pepperlatch.policy.quota import Quota
@@ -69,7 +69,7 @@
 )
 def test_what_can_never_run_is_refused_with_what_stands_in_its_way(changes: dict[str, object], said: str) -> None:
     kind: wire.MachineType = wire.convert(LAB.machine, wire.MachineType)
-    with pytest.raises(Impossible) as refused:
+    with pytest.raises(Unsatisfiable) as refused:
         check_possible(spec_of(1, **{**CARD, **changes}), settings_of(0, platform=LAB), [kind])
     assert said in str(refused.value)
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -12,7 +12,7 @@
 from pepperlatch.constants import core as c
 from pepperlatch.controller.owner import Owner
 from pepperlatch.controller.store import Replica
-from pepperlatch.controller.users import Users
+from pepperlatch.controller.users import UserApi
 from pepperlatch.policy import fleet, placement, supply
 from pepperlatch.policy.cluster import Cluster
 from pepperlatch.policy.fleet import Bin, Need, Offer
@@ -389,7 +389,7 @@
             replica = Replica()
 
         state = SlowState()
-        users = Users(settings_of(0), Watched(), state, lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
+        users = UserApi(settings_of(0), Watched(), state, lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
         users.types = [machine("m").type]
         async with trio.open_nursery() as nursery:
             for number in range(state.share):
@@ -431,7 +431,7 @@
         class Watched:
             replica = Replica()
 
-        users = Users(settings_of(0), Watched(), SlowState(), lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
+        users = UserApi(settings_of(0), Watched(), SlowState(), lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
         users.types = [machine("m").type]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(users.create_loop)
