--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -30,7 +30,7 @@
 
 log = logging.getLogger(__name__)
 IMAGES, DELEGATION = "images", "delegation"  # among the rows of jobs, whose ids all begin with run-
-PEER_CONTACT, PEER_BAR = "/peer/contact", "/peer/bar"
+PEER_CONTACT, PEER_REVOKE_RENEWAL = "/peer/contact", "/peer/bar"
 
 
 class PeerMessage(msgspec.Struct):
@@ -117,13 +117,13 @@
             self._shown = (leader.term.token, now, rows)
         return dict(self._shown[2])
 
-    def serve_bar(self, body: bytes) -> Response:
+    def serve_revocation(self, body: bytes) -> Response:
         """The leader is in touch."""
         message = _message(body)
         if message is None:
             return Response(400, {"error": "wanted: node and token"})
         self._leaderless.told(message.cancelled, message.witnesses)
-        return Response(200, self._heartbeats.barred(message.relay))
+        return Response(200, self._heartbeats.revoke_renewal(message.relay))
 
     # --- asking -----------------------------------------------------------------------------------
 
@@ -164,13 +164,13 @@
     async def _contact_leader(self, peer: Peer, token: int) -> None:
         sent = self._clock()
         told = self._images_told[1] if self._images_told[0] == token else 0
-        statement = self._heartbeats.delegated.statement(token, sent)
+        statement = self._heartbeats.delegated_answers.statement(token, sent)
         message = PeerMessage(self._settings.node, token, images=told, delegation=statement)
         answer = await self._ask_peer(peer, PEER_CONTACT, message)
         if answer is not None:
             self._take_delegation(statement, answer.pop(DELEGATION, None), token, sent)
             self._images_told = (token, max(told, self._images.learn(answer.pop(IMAGES, []))))
-            self._heartbeats.contact = LeaderContact(sent, token, answer)
+            self._heartbeats.leader_contact = LeaderContact(sent, token, answer)
 
     def _take_delegation(self, statement: DelegationStatement, plain: Any, token: int, sent: float) -> None:
         """What the leader lets this node answer; nothing if it is of an earlier version."""
@@ -181,15 +181,15 @@
         except msgspec.ValidationError as error:
             log.info("a delegation that cannot be read: %s", error)
             return
-        self._heartbeats.delegated.prolonged(statement, answer, token, sent)
+        self._heartbeats.delegated_answers.on_leader_answer(statement, answer, token, sent)
 
     async def _delegate_to_itself(self, leader: Leader) -> None:
         """What reports to the leader's own listener is answered as at any follower's."""
         token, sent = leader.term.token, self._clock()
-        statement = self._heartbeats.delegated.statement(token, sent)
+        statement = self._heartbeats.delegated_answers.statement(token, sent)
         answer = await self._delegate(leader, self._settings.node, statement)
         if answer is not None:
-            self._heartbeats.delegated.prolonged(statement, answer, token, sent)
+            self._heartbeats.delegated_answers.on_leader_answer(statement, answer, token, sent)
 
     def _to_others(self, leader: Leader) -> PeerMessage:
         """What the leader tells all other controllers, so that they need not ask."""
@@ -202,7 +202,7 @@
     async def _bar(self, leader: Leader, peer: Peer, message: PeerMessage) -> None:
         """Counted from before the question, the promise is shorter for us than for the one that gave it."""
         sent = self._clock()
-        answer = await self._ask_peer(peer, PEER_BAR, message)
+        answer = await self._ask_peer(peer, PEER_REVOKE_RENEWAL, message)
         if answer is not None:
             self._peer_answered_at = self._clock()
             until = sent + c.STAND_IN_BAR_S - c.STAND_IN_SLACK_S
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -13,7 +13,7 @@
 from pepperlatch import __version__
 from pepperlatch.constants import core as c
 from pepperlatch.controller.admin import AdminApi
-from pepperlatch.controller.contacts import PEER_BAR, PEER_CONTACT, Contacts
+from pepperlatch.controller.contacts import PEER_CONTACT, PEER_REVOKE_RENEWAL, Contacts
 from pepperlatch.controller.extensions import Extension, ExtensionContext, Extensions, LeaderSnapshot
 from pepperlatch.controller.heartbeats.forwarding import PEER_HEARTBEAT, PEER_HEARTBEATS
 from pepperlatch.controller.heartbeats.handler import HeartbeatHandler
@@ -21,7 +21,7 @@
 from pepperlatch.controller.leaderless import LeaderlessReturns
 from pepperlatch.controller.leadership import Leadership, Term, hold_seconds
 from pepperlatch.controller.owner import Owner
-from pepperlatch.controller.peers import PEER_FENCE, PEER_INSPECT, Peers
+from pepperlatch.controller.peers import PEER_FENCE, PEER_INSPECT, PeerProxy
 from pepperlatch.controller.store import Replica, Watched
 from pepperlatch.controller.users import JobProgress, UserApi
 from pepperlatch.controller.vouching import PEER_CANCELLED, PEER_VOUCH, Vouching
@@ -59,7 +59,7 @@
         self.state = StateClient(network, settings.services.state, params.state, params.nodes, clock)
         self.cloud = CloudClient(network, settings.services.cloud, params.cloud, clock)
         self.workers = WorkerClient(network)
-        self.peers = Peers(settings, network, self.workers)
+        self.peers = PeerProxy(settings, network, self.workers)
         self.replica = Replica()
         self.watched = Watched(self.state, self.replica, self._changed)
         hold_s = hold_seconds(params.workers.cancel_s, params.workers.lease_s)
@@ -73,7 +73,7 @@
         self.admin = AdminApi(self.watched, self.state, self.view)
         core = ExtensionContext(
             settings, self.users, self.watched, self.state, wall, clock, network, lambda: self.leader,
-            lambda: LeaderSnapshot(self.heartbeats.contact.at, self._progress),
+            lambda: LeaderSnapshot(self.heartbeats.leader_contact.requested_at, self._progress),
         )  # fmt: skip
         self.extensions = Extensions([create(core) for create in extensions])
         self.images = ImageMemory()
@@ -135,7 +135,7 @@
         if request.path == wire.HEALTH:
             return self._health()
         if request.path == wire.REPORT and request.method == "POST":
-            return await self.heartbeats.heartbeat(request.body)
+            return await self.heartbeats.serve_heartbeat(request.body)
         if request.path.startswith(wire.JOBS):
             return await self.users.handle(request)
         return await self.extensions.handle(request) or await self.users.handle(request)
@@ -169,8 +169,8 @@
             return await self.contacts.serve_contact(request.body)
         if request.path in (PEER_INSPECT, PEER_FENCE) and request.method == "POST":
             return await self.peers.serve(request)
-        if request.path == PEER_BAR and request.method == "POST":
-            return self.contacts.serve_bar(request.body)
+        if request.path == PEER_REVOKE_RENEWAL and request.method == "POST":
+            return self.contacts.serve_revocation(request.body)
         if request.path == PEER_VOUCH and request.method == "POST":
             return self.vouching.serve(request.body)
         if request.path == PEER_CANCELLED and request.method == "POST":
@@ -185,13 +185,13 @@
         try:
             plain = orjson.loads(request.body)
             if request.path == PEER_HEARTBEAT:
-                return await self.heartbeats.lead(wire.convert(plain, Report))
+                return await self.heartbeats.answer_as_leader(wire.convert(plain, Report))
             batch = wire.convert(plain, HeartbeatBatch)
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
             log.info("forwarded heartbeats are refused: %s", error)
             return Response(400, {"error": str(error)})
         follower = batch.node if self._peer(batch.node) is not None else ""
-        return Response(200, {"answers": await self.heartbeats.lead_all(batch.beats, follower)})
+        return Response(200, {"answers": await self.heartbeats.answer_all_as_leader(batch.beats, follower)})
 
     def _progress(self, job_id: str) -> JobProgress | None:
         if self.leader is not None:
@@ -199,11 +199,11 @@
             if job is None:
                 return None
             return JobProgress(job.running(), len(job.done), job.reason, self._clock() - job.reason_since)
-        row = self.heartbeats.contact.jobs.get(job_id)
+        row = self.heartbeats.leader_contact.jobs.get(job_id)
         if not row:
             return None
         reason = Reason(Why.UNKNOWN, said=row[2])  # the leader's own words, whatever its version
-        return JobProgress(row[0], row[1], reason, row[3] + self._clock() - self.heartbeats.contact.at)
+        return JobProgress(row[0], row[1], reason, row[3] + self._clock() - self.heartbeats.leader_contact.requested_at)
 
     async def _health_loop(self) -> None:
         """Only while this node has no good answer itself does it ask whether the others do."""
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -12,7 +12,7 @@
 from pepperlatch.constants import core as c
 from pepperlatch.constants import zones as z
 from pepperlatch.controller.duty import Duty
-from pepperlatch.controller.peers import Peers
+from pepperlatch.controller.peers import PeerProxy
 from pepperlatch.policy.cancellations import Decision, Seen, decide
 from pepperlatch.policy.cluster import SILENT, SILENT_CANCELLED
 from pepperlatch.policy.model import Machine, Status
@@ -41,7 +41,7 @@
 
 class Health:
     def __init__(
-        self, duty: Duty, workers: WorkerClient, peers: Peers, on_report: Callable[[Report, float, bool], None]
+        self, duty: Duty, workers: WorkerClient, peers: PeerProxy, on_report: Callable[[Report, float, bool], None]
     ) -> None:  # fmt: skip
         self._duty = duty
         self._workers = workers
--- a/pepperlatch/controller/heartbeats/delegation.py
+++ b/pepperlatch/controller/heartbeats/delegation.py
@@ -44,7 +44,7 @@
 
     # --- heartbeats -------------------------------------------------------------------------------
 
-    def may_answer(self, report: Report, token: int, now: float) -> bool:
+    def try_answer(self, report: Report, token: int, now: float) -> bool:
         """Whether the answer may be given here, under the token; it counts as given then."""
         held = self._held.get(report.machine)
         if held is None or now >= self._until or not token == self._token == report.token:
@@ -62,12 +62,12 @@
                 return True
         return False
 
-    def forwarded(self, report: Report) -> None:
+    def on_forwarded(self, report: Report) -> None:
         """The heartbeat goes to the leader: what was granted before is given up."""
         self._release(report.machine)
         self._forwarded[report.machine] = report
 
-    def granted(self, report: Report, number: int | None, token: int, now: float) -> None:
+    def on_answered(self, report: Report, number: int | None, token: int, now: float) -> None:
         """The leader has answered it; `number` of its grant, None without one. A late or older one is not installed."""
         if self._forwarded.get(report.machine) is not report:
             return
@@ -78,7 +78,7 @@
             answered_at = self._released.pop(report.machine, -math.inf)
             self._held[report.machine] = _Held(number, report, now, answered_at)
 
-    def gave_up(self, report: Report) -> None:
+    def on_forward_ended(self, report: Report) -> None:
         """No answer is waited for any more."""
         if self._forwarded.get(report.machine) is report:
             del self._forwarded[report.machine]
@@ -111,7 +111,9 @@
             self._release(machine)
         self._token, self._until, self._floor = token, -math.inf, 0
 
-    def prolonged(self, stated: DelegationStatement, answer: DelegationAnswer, token: int, sent_at: float) -> None:
+    def on_leader_answer(
+        self, stated: DelegationStatement, answer: DelegationAnswer, token: int, sent_at: float
+    ) -> None:
         """The leader's answer to a statement that was sent then.
 
         Kept are the grants that it has looked at and not revoked, and those that are newer than its answer. A grant up
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -34,7 +34,7 @@
 class LeaderContact:
     """The last answer from the leader: when it was asked for, under which token, and what it said of jobs."""
 
-    at: float = float("-inf")
+    requested_at: float = float("-inf")
     token: int = 0
     jobs: dict[str, list[Any]] = field(default_factory=dict)
 
@@ -56,17 +56,17 @@
         self.routes = Routes(
             settings.node, {settings.node: settings.zone} | {peer.node: peer.zone for peer in settings.peers}
         )
-        self.contact = LeaderContact()
+        self.leader_contact = LeaderContact()
         self._began_at = clock()
-        self.delegated = DelegatedAnswers(
+        self.delegated_answers = DelegatedAnswers(
             settings.params.workers.report_s, self._lease_s, self._began_at, self._knows_over
         )
-        self._barred_until = float("-inf")
-        self._stood_in: dict[str, float] = {}  # machines answered in the leader's place, and when
+        self._renewal_revoked_until = float("-inf")
+        self._renewed_at: dict[str, float] = {}  # machines answered in the leader's place, and when
 
     # --- from workers -----------------------------------------------------------------------------
 
-    async def heartbeat(self, body: bytes) -> Response:
+    async def serve_heartbeat(self, body: bytes) -> Response:
         """A worker's report. The answer comes within its patience; cancelled, the report may have been taken in."""
         try:
             plain = orjson.loads(body)
@@ -88,7 +88,7 @@
             if self._answers_itself(report, token):
                 return Response(200, wire.report_answer(report.token, []))
             if leader is not None:
-                return await self._lead_own(report, token)
+                return await self._answer_own_worker(report, token)
             if held is not None and held[0] in self._addr:
                 answer = await self._forward(held[0], report, plain, until)
                 if answer is not None:
@@ -99,22 +99,22 @@
                 return Response(421, {}) if held is not None else Response(503, {"error": "nobody leads"})
             await trio.sleep(c.HEARTBEAT_RETRY_S)
 
-    async def lead(self, report: Report) -> Response:
+    async def answer_as_leader(self, report: Report) -> Response:
         """As the leader."""
-        return _response((await self.lead_all([report]))[0])
+        return _response((await self.answer_all_as_leader([report]))[0])
 
-    async def _lead_own(self, report: Report, token: int) -> Response:
+    async def _answer_own_worker(self, report: Report, token: int) -> Response:
         """As the leader, for a worker that reports here: this node is one of its own followers."""
-        self.delegated.forwarded(report)
+        self.delegated_answers.on_forwarded(report)
         try:
-            answer = (await self.lead_all([report], self.routes.node))[0]
+            answer = (await self.answer_all_as_leader([report], self.routes.node))[0]
             if answer is not None:
-                self.delegated.granted(report, answer.pop(GRANT, None), token, self._clock())
+                self.delegated_answers.on_answered(report, answer.pop(GRANT, None), token, self._clock())
             return _response(answer)
         finally:
-            self.delegated.gave_up(report)
+            self.delegated_answers.on_forward_ended(report)
 
-    async def lead_all(self, reports: list[Report], follower: str = "") -> list[HeartbeatAnswer]:
+    async def answer_all_as_leader(self, reports: list[Report], follower: str = "") -> list[HeartbeatAnswer]:
         """As the leader, for several that came together: an answer for each, or None.
 
         `follower`: who forwarded them, if it takes delegations.
@@ -132,24 +132,24 @@
     async def _forward(self, leader: str, report: Report, plain: Any, until: float) -> Response | None:
         """To the leader, so that a zone that cannot reach it lives on; None: there may be a way soon."""
         heard = self._hears_leader()
-        if not heard and self._may_stand_in(report):
+        if not heard and self._may_renew_lease(report):
             return self._stand_in(report)
         refused = False
         try:
             seconds = min(c.RELAY_S, max(c.HEARTBEAT_RETRY_S, until - self._clock()))
-            self.delegated.forwarded(report)
+            self.delegated_answers.on_forwarded(report)
             status, answer = await self.forwarder.forward(self._addr[leader], plain, seconds)
             if status == 200 and isinstance(answer, dict):
                 number = answer.pop(GRANT, None)
-                self.delegated.granted(report, number, wire.answered_token(answer), self._clock())
+                self.delegated_answers.on_answered(report, number, wire.answered_token(answer), self._clock())
                 return Response(200, answer)
         except NotSent:
             refused = True
         except Lost:
             pass
         finally:
-            self.delegated.gave_up(report)
-        if self._may_stand_in(report):
+            self.delegated_answers.on_forward_ended(report)
+        if self._may_renew_lease(report):
             return self._stand_in(report)
         if refused and self._state_here() and self.routes.send(report.machine, self._clock()):
             return Response(421, wire.misdirected(leader))
@@ -160,11 +160,11 @@
 
         Seen in a story: apart from its followers alone, it took the machines that these answered for a lost zone.
         """
-        return self.hears_leader() and self.delegated.may_answer(report, token, self._clock())
+        return self.hears_leader() and self.delegated_answers.try_answer(report, token, self._clock())
 
     def _hears_leader(self) -> bool:
         """Whether reports may be carried to it: a try at a silent leader costs a worker most of its patience."""
-        return self._clock() - self.contact.at < c.LEADER_SILENT_S
+        return self._clock() - self.leader_contact.requested_at < c.LEADER_SILENT_S
 
     def hears_leader(self) -> bool:
         """For others that ask where a worker should report."""
@@ -180,7 +180,7 @@
 
     # --- standing in ------------------------------------------------------------------------------
 
-    def _may_stand_in(self, report: Report) -> bool:
+    def _may_renew_lease(self, report: Report) -> bool:
         """While neither the leader nor the state service can be reached, workers' leases are kept alive for it.
 
         For as long as the leader itself might: counted from the last proof that it leads, and from when
@@ -188,18 +188,18 @@
         holds, also one that this node gave just before it ended and was back at once; never for workers that
         another leader has commanded since.
         """
-        now, held, contact = self._clock(), self._replica.leader, self.contact
+        now, held, contact = self._clock(), self._replica.leader, self.leader_contact
         return (
             held is not None
             and held[1] == contact.token == report.token
             and not self._state_here()
-            and now > max(self._barred_until, self._began_at + c.STAND_IN_BAR_S)
-            and now < keeps_alive_until(self._hold_s, self._replica.current_at, contact.at)
+            and now > max(self._renewal_revoked_until, self._began_at + c.STAND_IN_BAR_S)
+            and now < keeps_alive_until(self._hold_s, self._replica.current_at, contact.requested_at)
         )
 
     def _stand_in(self, report: Report) -> Response:
         """No orders but to stop what this node knows to be over."""
-        self._stood_in[report.machine] = self._clock()
+        self._renewed_at[report.machine] = self._clock()
         orders = []
         for task in report.tasks:
             parts = split_task(task.task)
@@ -207,15 +207,15 @@
                 orders.append(wire.kill(task.task, task.attempt, 0.0))
         return Response(200, wire.report_answer(report.token, orders))
 
-    def barred(self, unreached: list[str]) -> dict[str, float]:
+    def revoke_renewal(self, unreached: list[str]) -> dict[str, float]:
         """The leader is in touch: no standing in for a while. It is told for which machines we did, how long ago,
         and how long this process has lived."""
         now = self._clock()
         self.routes.keep(unreached, now)
-        self._barred_until = now + c.STAND_IN_BAR_S
+        self._renewal_revoked_until = now + c.STAND_IN_BAR_S
         oldest = now - 2 * self._lease_s
-        self._stood_in = {name: at for name, at in self._stood_in.items() if at > oldest}
-        ages = {name: round(now - at, 3) for name, at in self._stood_in.items()}
+        self._renewed_at = {name: at for name, at in self._renewed_at.items() if at > oldest}
+        ages = {name: round(now - at, 3) for name, at in self._renewed_at.items()}
         return {BEGAN: round(now - self._began_at, 3), **ages}
 
 
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -14,7 +14,7 @@
 from pepperlatch.controller.health import Health
 from pepperlatch.controller.leadership import Term, keeps_alive_until
 from pepperlatch.controller.owner import Owner, Reply
-from pepperlatch.controller.peers import Peers
+from pepperlatch.controller.peers import PeerProxy
 from pepperlatch.controller.records import Records
 from pepperlatch.controller.rentals import Rentals
 from pepperlatch.controller.store import Replica
@@ -59,7 +59,7 @@
 
     def __init__(
         self, settings: Settings, term: Term, replica: Replica, state: StateClient, cloud: CloudClient,
-        workers: WorkerClient, owner: Owner, clock: Clock, wall: Clock, peers: Peers, images: ImageMemory,
+        workers: WorkerClient, owner: Owner, clock: Clock, wall: Clock, peers: PeerProxy, images: ImageMemory,
     ) -> None:  # fmt: skip
         self.settings = settings
         self.term = term
--- a/pepperlatch/controller/leaderless.py
+++ b/pepperlatch/controller/leaderless.py
@@ -13,7 +13,7 @@
 import trio
 
 from pepperlatch.constants import core as c
-from pepperlatch.controller.peers import Peers
+from pepperlatch.controller.peers import PeerProxy
 from pepperlatch.controller.store import Replica
 from pepperlatch.policy.cancellations import CancelledOn, return_after_s
 from pepperlatch.protocol.cloud import CloudClient, CloudTrouble
@@ -38,7 +38,7 @@
 
     def __init__(
         self, times: Workers, clock: Callable[[], float], replica: Replica, leads: Callable[[], bool],
-        workers: WorkerClient, peers: Peers, cloud: CloudClient,
+        workers: WorkerClient, peers: PeerProxy, cloud: CloudClient,
     ) -> None:  # fmt: skip
         self._times = times
         self._clock = clock
@@ -82,7 +82,7 @@
         due = sorted(due)[: c.RELEASE_MOST]
         if not due:
             return
-        reaches = await self._peers.reaches(self._witnesses)
+        reaches = await self._peers.reaches_any(self._witnesses)
         async with trio.open_nursery() as nursery:
             for name in due:
                 nursery.start_soon(self._ask, self._told[name], reaches)
--- a/pepperlatch/controller/peers.py
+++ b/pepperlatch/controller/peers.py
@@ -29,12 +29,12 @@
     session: int
 
 
-class Fenced(msgspec.Struct):
+class FenceResult(msgspec.Struct):
     executed: bool
     report: Report
 
 
-class Peers:
+class PeerProxy:
     def __init__(self, settings: Settings, network: Network, workers: WorkerClient) -> None:
         self._settings = settings
         self._network = network
@@ -69,7 +69,7 @@
                 nursery.start_soon(ask, peer)
         return (found[0] if found else None), heard > 0 or not self._settings.peers
 
-    async def fence(self, addr: str, zone: str, token: int, session: int) -> Fenced:
+    async def fence(self, addr: str, zone: str, token: int, session: int) -> FenceResult:
         """Have another controller show our token to a worker; those in its zone are asked first.
 
         Carries no orders: a copy that arrives late can do no more than the token itself.
@@ -80,7 +80,7 @@
             try:
                 status, answer = await self._network.request(peer.addr, "POST", PEER_FENCE, body, 2 * c.FENCE_TRY_S)
                 if status == 200:
-                    fenced: Fenced = wire.convert(answer, Fenced)
+                    fenced: FenceResult = wire.convert(answer, FenceResult)
                     return fenced
             except (NotSent, Lost, msgspec.ValidationError):
                 continue
@@ -100,9 +100,9 @@
         try:
             return Response(200, wire.to_plain(await self._workers.inspect(message.addr)))
         except (NotSent, Lost) as error:
-            return Response(504, {"error": str(error), "reaches": await self.reaches(message.others)})
+            return Response(504, {"error": str(error), "reaches": await self.reaches_any(message.others)})
 
-    async def reaches(self, others: list[str]) -> bool:
+    async def reaches_any(self, others: list[str]) -> bool:
         """Whether any of these machines answers us: else we are cut off from them all, and cannot tell of one."""
         reached = False
 
@@ -126,4 +126,4 @@
             )
         except (NotSent, Lost) as error:
             return Response(504, {"error": str(error)})
-        return Response(200, wire.to_plain(Fenced(executed, report)))
+        return Response(200, wire.to_plain(FenceResult(executed, report)))
--- a/tests/acceptance/test_back_at_once.py
+++ b/tests/acceptance/test_back_at_once.py
@@ -193,14 +193,14 @@
         index = next(i for i in world.nodes if i != leader)
         await world.bounce(index, 0.0)
         reports = world.nodes[index].heartbeats
-        await world.until(lambda: reports.contact.token > 0, 5)
-        reports._state.good_at = reports._barred_until = float("-inf")  # no state service, and no word from the leader
+        await world.until(lambda: reports.leader_contact.token > 0, 5)
+        reports._state.good_at = reports._renewal_revoked_until = float("-inf")  # no state service, no leader heard
         reports._replica.current_at = trio.current_time()
-        shown = report(1, 1, token=reports.contact.token)
-        assert not reports._may_stand_in(shown)
+        shown = report(1, 1, token=reports.leader_contact.token)
+        assert not reports._may_renew_lease(shown)
         await trio.sleep(c.STAND_IN_BAR_S)
-        reports._barred_until = reports._state.good_at = float("-inf")
-        assert reports._may_stand_in(shown)
+        reports._renewal_revoked_until = reports._state.good_at = float("-inf")
+        assert reports._may_renew_lease(shown)
 
     story(tell)
 
--- a/tests/heartbeats/test_delegation.py
+++ b/tests/heartbeats/test_delegation.py
@@ -37,10 +37,10 @@
 
     def forward(self, heartbeat: Report, now: float, arrives: bool = True) -> int:
         """The leader takes it in and grants; what it granted."""
-        self.follower.forwarded(heartbeat)
+        self.follower.on_forwarded(heartbeat)
         number = self.leader.grant(FOLLOWER, heartbeat.machine)
         if arrives:
-            self.follower.granted(heartbeat, number, TOKEN, now)
+            self.follower.on_answered(heartbeat, number, TOKEN, now)
         return number
 
     def decide(self, statement: DelegationStatement, now: float, seconds: float) -> DelegationAnswer:
@@ -53,7 +53,7 @@
 
     def contact(self, now: float, seconds: float = 10.0) -> None:
         statement = self.follower.statement(TOKEN, now)
-        self.follower.prolonged(statement, self.decide(statement, now, seconds), TOKEN, now)
+        self.follower.on_leader_answer(statement, self.decide(statement, now, seconds), TOKEN, now)
 
     def granted(self, now: float) -> None:
         """In touch, and n-1 granted by a heartbeat with number 1."""
@@ -74,47 +74,47 @@
         report(2, tasks=2), report(2, token=8), report(2, session=2), report(2, notice=30.0), report(1), report(0),
     )  # fmt: skip
     for heartbeat in different:
-        assert not follower.may_answer(heartbeat, TOKEN, 2.0), heartbeat
-    assert not follower.may_answer(report(2), TOKEN + 1, 2.0), "this node knows another leader"
-    assert follower.may_answer(report(2), TOKEN, 2.0)
-    assert not follower.may_answer(report(2), TOKEN, 2.0), "a copy of it"
-    assert follower.may_answer(report(3), TOKEN, 10.98)
-    assert not follower.may_answer(report(4), TOKEN, 11.0), "the delegation has ended"
+        assert not follower.try_answer(heartbeat, TOKEN, 2.0), heartbeat
+    assert not follower.try_answer(report(2), TOKEN + 1, 2.0), "this node knows another leader"
+    assert follower.try_answer(report(2), TOKEN, 2.0)
+    assert not follower.try_answer(report(2), TOKEN, 2.0), "a copy of it"
+    assert follower.try_answer(report(3), TOKEN, 10.98)
+    assert not follower.try_answer(report(4), TOKEN, 11.0), "the delegation has ended"
     pair.contact(11.0)
-    assert follower.may_answer(report(4), TOKEN, 11.5)
+    assert follower.try_answer(report(4), TOKEN, 11.5)
     pair.over.add("run-000001")
-    assert not follower.may_answer(report(5), TOKEN, 12.0), "what is over wants an order"
+    assert not follower.try_answer(report(5), TOKEN, 12.0), "what is over wants an order"
 
 
 def test_what_is_forwarded_is_given_up_until_its_own_answer(pair: Pair) -> None:
     follower, first, second = pair.follower, report(2, tasks=2), report(3, tasks=3)
-    follower.forwarded(first)
-    follower.forwarded(second)
-    follower.granted(first, 50, TOKEN, 2.0)
-    assert not follower.may_answer(report(4, tasks=2), TOKEN, 2.5), "the answer to an older one came late"
-    follower.gave_up(second)
-    follower.granted(second, 51, TOKEN, 2.0)
-    assert not follower.may_answer(report(4, tasks=3), TOKEN, 2.5), "nobody waited for it any more"
+    follower.on_forwarded(first)
+    follower.on_forwarded(second)
+    follower.on_answered(first, 50, TOKEN, 2.0)
+    assert not follower.try_answer(report(4, tasks=2), TOKEN, 2.5), "the answer to an older one came late"
+    follower.on_forward_ended(second)
+    follower.on_answered(second, 51, TOKEN, 2.0)
+    assert not follower.try_answer(report(4, tasks=3), TOKEN, 2.5), "nobody waited for it any more"
 
 
 def test_a_revoked_grant_is_given_up_also_one_that_came_unseen(pair: Pair) -> None:
     pair.settled = False
     pair.contact(2.0)
-    assert not pair.follower.may_answer(report(2), TOKEN, 2.1)
+    assert not pair.follower.try_answer(report(2), TOKEN, 2.1)
     pair.settled = True
     pair.contact(3.0)
     statement = pair.follower.statement(TOKEN, 3.5)  # holds nothing
     pair.forward(report(3), 3.6)  # arrives before the answer to the statement, and was granted before that was made
-    pair.follower.prolonged(statement, pair.decide(statement, 3.7, 10.0), TOKEN, 3.5)
-    assert not pair.follower.may_answer(report(4), TOKEN, 4.0), "the leader may have revoked it unseen"
+    pair.follower.on_leader_answer(statement, pair.decide(statement, 3.7, 10.0), TOKEN, 3.5)
+    assert not pair.follower.try_answer(report(4), TOKEN, 4.0), "the leader may have revoked it unseen"
     late = report(5)
-    pair.follower.forwarded(late)
+    pair.follower.on_forwarded(late)
     number = pair.leader.grant(FOLLOWER, "n-1")
     pair.contact(5.0)
-    pair.follower.granted(late, number, TOKEN, 5.1)
-    assert not pair.follower.may_answer(report(6), TOKEN, 5.2), "below the floor"
+    pair.follower.on_answered(late, number, TOKEN, 5.1)
+    assert not pair.follower.try_answer(report(6), TOKEN, 5.2), "below the floor"
     pair.forward(report(7), 6.0)
-    assert pair.follower.may_answer(report(8), TOKEN, 6.1)
+    assert pair.follower.try_answer(report(8), TOKEN, 6.1)
 
 
 def test_a_newer_grant_outlives_an_answer_that_did_not_know_it(pair: Pair) -> None:
@@ -123,13 +123,13 @@
     answer = pair.decide(statement, 2.1, 10.0)
     pair.settled = True
     pair.forward(report(3), 2.2)
-    pair.follower.prolonged(statement, answer, TOKEN, 2.0)
-    assert pair.follower.may_answer(report(4), TOKEN, 2.5)
+    pair.follower.on_leader_answer(statement, answer, TOKEN, 2.0)
+    assert pair.follower.try_answer(report(4), TOKEN, 2.5)
 
 
 def test_the_leader_reckons_with_every_answer_that_may_have_been_given(pair: Pair) -> None:
     assert pair.leader.answered_until("n-1") == 11.0
-    assert pair.follower.may_answer(report(2), TOKEN, 4.0)
+    assert pair.follower.try_answer(report(2), TOKEN, 4.0)
     pair.contact(5.0)
     assert pair.answered_at == 4.0
     assert pair.leader.answered_until("n-1") == 15.0
@@ -155,22 +155,22 @@
     pair.forward(report(1), 2.0)
     pair.decide(old, 40.0, 10.0)  # held up for long; the floor in it is from before the grant
     assert pair.leader.answered_until("n-1") == 50.0
-    assert pair.follower.may_answer(report(2), TOKEN, 5.0)
+    assert pair.follower.try_answer(report(2), TOKEN, 5.0)
     pair.follower = pair.begin(60.0)  # it ends, and is back at once with no memory of that answer
     pair.contact(61.0)
     assert pair.leader.answered_until("n-1") == 71.0, "a life without a floor proves nothing"
     pair.contact(62.0)
     assert pair.leader.answered_until("n-1") == float("-inf")
     assert pair.answered_at == 60.0, "the life before may have answered until it ended"
-    assert not pair.follower.may_answer(report(3), TOKEN, 63.0)
+    assert not pair.follower.try_answer(report(3), TOKEN, 63.0)
 
 
 def test_another_leader_begins_with_nothing(pair: Pair) -> None:
-    assert pair.follower.may_answer(report(2), TOKEN, 2.0)
+    assert pair.follower.try_answer(report(2), TOKEN, 2.0)
     statement = pair.follower.statement(TOKEN + 1, 3.0)
     assert (statement.floor, statement.held, statement.released) == (0, [], {"n-1": 1.0})
-    pair.follower.prolonged(statement, DelegationAnswer(10.0, 3), TOKEN, 3.0)  # an answer of the one before
-    assert not pair.follower.may_answer(report(3), TOKEN, 3.5)
+    pair.follower.on_leader_answer(statement, DelegationAnswer(10.0, 3), TOKEN, 3.0)  # an answer of the one before
+    assert not pair.follower.try_answer(report(3), TOKEN, 3.5)
 
 
 # --- in a world -----------------------------------------------------------------------------------
--- a/tests/meetings/test_cancelled_in_an_outage.py
+++ b/tests/meetings/test_cancelled_in_an_outage.py
@@ -201,7 +201,7 @@
         await trio.sleep(8.0)
         world.kill(old)
         await trio.sleep(5.0)
-        assert world.nodes[who].heartbeats._stood_in, "it stood in"
+        assert world.nodes[who].heartbeats._renewed_at, "it stood in"
         await trio.sleep(1.5 * CANCEL_S)
         assert world.running(one) == 0
 
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -11,7 +11,7 @@
 from pepperlatch.constants import core as c
 from pepperlatch.constants import zones as z
 from pepperlatch.controller.health import Health
-from pepperlatch.controller.peers import PEER_INSPECT, Peers
+from pepperlatch.controller.peers import PEER_INSPECT, PeerProxy
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.routes import Routes
 from pepperlatch.policy.zones import Seen, State, Zone, Zones
@@ -197,7 +197,7 @@
 
     async def ask(*up: str) -> tuple[int, Any]:
         network: Any = Wires(*up)
-        peers = Peers(settings_of(0), network, WorkerClient(network))
+        peers = PeerProxy(settings_of(0), network, WorkerClient(network))
         body = {"addr": "1:1", "others": ["2:2", "3:3"]}
         answer = await peers.serve(Request("POST", PEER_INSPECT, orjson.dumps(body)))
         return answer.status, answer.body
