--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -1,4 +1,4 @@
-"""A controller node: its parts, put together, and the loops that keep them going."""
+"""A controller process: builds its components, runs their loops and dispatches requests of both HTTP listeners."""
 
 import logging
 import time
@@ -41,11 +41,19 @@
 
 
 class HeartbeatBatch(msgspec.Struct):
+    """Body of PEER_HEARTBEATS: workers' reports that another controller forwards to the leader."""
+
     beats: list[Report]
-    node: str = ""  # who forwards them, if it takes delegations
+    node: str = ""  # the forwarding controller, if it accepts delegations; "" from earlier versions
 
 
 class Node:
+    """One controller. `leader` is set while it leads, None while it follows.
+
+    `clock` is a steady clock and `wall` the time of day, both in seconds; `seed` makes the election jitter
+    reproducible; `extensions` are factories of the extensions that are switched on.
+    """
+
     def __init__(
         self, settings: Settings, network: Network, clock: Callable[[], float] = trio.current_time,
         wall: Callable[[], float] = time.time, seed: int | None = None,
@@ -61,7 +69,7 @@
         self.workers = WorkerClient(network)
         self.peers = PeerProxy(settings, network, self.workers)
         self.replica = Replica()
-        self.watched = Watched(self.state, self.replica, self._changed)
+        self.watched = Watched(self.state, self.replica, self._on_watch_change)
         hold_s = hold_seconds(params.workers.cancel_s, params.workers.lease_s)
         self.leadership = Leadership(settings.node, self.state, self.replica, hold_s, clock, seed)
         self.vouching = Vouching(network, settings.peers, self.watched, self.leadership, clock)
@@ -86,18 +94,19 @@
         )  # fmt: skip
         self.leader: Leader | None = None
         self._nursery: trio.Nursery | None = None
-        self._peers_good = False  # others have the state service, or are out of reach as it is
-        self._silent_rounds = 0  # in which none of them answered
+        self._outage_is_local = False  # a peer reaches the state service, or none has answered for ISOLATED_ROUNDS
+        self._unanswered_rounds = 0  # consecutive rounds of questions in which no peer answered
 
-    # --- life -------------------------------------------------------------------------------------
+    # --- lifecycle --------------------------------------------------------------------------------
 
     async def run(self, started: Callable[[], None] = lambda: None) -> None:
+        """Run all loops until cancelled. `started` is called once they are scheduled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             loops = (
                 self.owner.run, self.watched.watch, self.watched.serve_syncs, self.users.create_loop,
-                self.contacts.run, self._health_loop, self._homes_loop, self._types_loop, self.extensions.run,
-                self.heartbeats.forwarder.run, self.leaderless.run,
+                self.contacts.run, self._health_loop, self._preferred_controllers_loop, self._machine_types_loop,
+                self.extensions.run, self.heartbeats.forwarder.run, self.leaderless.run,
                 partial(self.watched.keep_current, lambda: self.leader is not None),
             )  # fmt: skip
             for loop in loops:
@@ -106,6 +115,7 @@
             started()
 
     def _on_term(self, term: Term | None) -> None:
+        """Called by `Leadership` with each term that this node wins, and with None when it ends."""
         if term is None:
             self.leader = None
             return
@@ -118,20 +128,25 @@
             self._nursery.start_soon(self.leader.run)
             self._nursery.start_soon(self.extensions.run_while_leading, term)
 
-    def _changed(self, touched: set[str]) -> None:
-        """The watch: the loss of leadership is seen before any job that came after it."""
+    def _on_watch_change(self, touched: set[str]) -> None:
+        """Called by the watch with the ids of changed jobs.
+
+        The leader's key is checked first, so that a loss of leadership is noticed before any later change of a job.
+        """
         self.leadership.check_key()
         leader = self.leader
         if leader is not None and not leader.term.over:
             self.owner.post(lambda: leader.on_jobs(touched))
 
     def _settle(self) -> None:
+        """Called by the owner after each batch of commands."""
         if self.leader is not None:
             self.leader.settle()
 
-    # --- the users' listener ----------------------------------------------------------------------
+    # --- listener for users and workers -----------------------------------------------------------
 
     async def handle(self, request: Request) -> Response:
+        """Serve a request on the public listener: health probe, workers' reports, jobs, extensions."""
         if request.path == wire.HEALTH:
             return self._health()
         if request.path == wire.REPORT and request.method == "POST":
@@ -141,30 +156,36 @@
         return await self.extensions.handle(request) or await self.users.handle(request)
 
     def _health(self) -> Response:
-        """Unhealthy only if this node alone has lost the state service, as far as it can know; an outage is everyone's.
+        """Answer the load balancer: 503 while nothing is loaded, or if only this node has lost the state service.
 
-        One that nobody answers, no other controller either, is taken to be cut off itself: it would keep its users for
-        as long as that lasts, and answer each of them that it cannot tell.
+        In an outage of the state service that affects all controllers, they stay healthy. A node that reaches neither
+        the state service nor any other controller counts as isolated and is unhealthy: it would otherwise keep its
+        users for as long as that lasts, and could answer none of them.
         """
-        able = bool(self.replica.types or self.users.types)
-        good = (self.replica.loaded and able and self._state_good()) or not self._peers_good
-        return Response(200 if good and self.replica.loaded else 503, {"healthy": good})
+        knows_types = bool(self.replica.types or self.users.types)
+        healthy = (self.replica.loaded and knows_types and self._state_service_good()) or not self._outage_is_local
+        return Response(200 if healthy and self.replica.loaded else 503, {"healthy": healthy})
 
-    def _state_good(self) -> bool:
+    def _state_service_good(self) -> bool:
+        """Whether the state service is reachable, or has been unreachable for less than STATE_BAD_S."""
         return self.state.reachable() or self._clock() - self.state.bad_since < c.STATE_BAD_S
 
-    async def _state_answers(self) -> bool:
-        """For another node that gets no answers: what we got a while ago may have been before the outage."""
+    async def _state_service_answers(self) -> bool:
+        """Whether the state service answers now, for a peer that gets no answers from it.
+
+        An answer older than STATE_FRESH_S may be from before the outage, so a new one is requested then.
+        """
         return self._clock() - self.state.good_at < c.STATE_FRESH_S or await self.state.answers()
 
-    def _peer(self, node: str) -> Peer | None:
+    def _find_peer(self, node: str) -> Peer | None:
         return next((p for p in self.settings.peers if p.node == node), None)
 
-    # --- the controllers' listener ----------------------------------------------------------------
+    # --- listener for controllers and operators ---------------------------------------------------
 
     async def handle_peer(self, request: Request) -> Response:
+        """Serve a request on the internal listener: other controllers, extensions, administration."""
         if request.path in (PEER_HEARTBEAT, PEER_HEARTBEATS) and request.method == "POST":
-            return await self._forwarded(request)
+            return await self._serve_forwarded(request)
         if request.path == PEER_CONTACT and request.method == "POST":
             return await self.contacts.serve_contact(request.body)
         if request.path in (PEER_INSPECT, PEER_FENCE) and request.method == "POST":
@@ -176,24 +197,25 @@
         if request.path == PEER_CANCELLED and request.method == "POST":
             return self.vouching.serve_cancelled(request.body)
         if request.path == PEER_HEALTH:
-            state = self.replica.loaded and await self._state_answers()
+            state = self.replica.loaded and await self._state_service_answers()
             return Response(200, {"state": state, "leader": self.heartbeats.hears_leader()})
         return await self.extensions.handle(request, operators=True) or await self.admin.handle(request)
 
-    async def _forwarded(self, request: Request) -> Response:
-        """Heartbeats that another controller forwards: one by itself, or several. Refused whole if malformed."""
+    async def _serve_forwarded(self, request: Request) -> Response:
+        """Heartbeats that another controller forwards, one or a batch. A malformed request is refused as a whole."""
         try:
             plain = orjson.loads(request.body)
             if request.path == PEER_HEARTBEAT:
                 return await self.heartbeats.answer_as_leader(wire.convert(plain, Report))
             batch = wire.convert(plain, HeartbeatBatch)
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
-            log.info("forwarded heartbeats are refused: %s", error)
+            log.info("refused malformed heartbeats forwarded by another controller: %s", error)
             return Response(400, {"error": str(error)})
-        follower = batch.node if self._peer(batch.node) is not None else ""
+        follower = batch.node if self._find_peer(batch.node) is not None else ""
         return Response(200, {"answers": await self.heartbeats.answer_all_as_leader(batch.beats, follower)})
 
     def _progress(self, job_id: str) -> JobProgress | None:
+        """Progress from the cluster while leading, else from the leader's last answer; None if neither has the job."""
         if self.leader is not None:
             job = self.leader.cluster.jobs.get(job_id)
             if job is None:
@@ -202,56 +224,62 @@
         row = self.heartbeats.leader_contact.jobs.get(job_id)
         if not row:
             return None
-        reason = Reason(Why.UNKNOWN, said=row[2])  # the leader's own words, whatever its version
+        reason = Reason(Why.UNKNOWN, said=row[2])  # text made by the leader, whatever its version
         return JobProgress(row[0], row[1], reason, row[3] + self._clock() - self.heartbeats.leader_contact.requested_at)
 
     async def _health_loop(self) -> None:
-        """Only while this node has no good answer itself does it ask whether the others do."""
+        """While this node gets no good answers from the state service, ask the other controllers whether they do."""
         while True:
             await trio.sleep(c.HEALTH_EVERY_S)
-            if self.replica.loaded and self._state_good():
-                self._peers_good, self._silent_rounds = False, 0
+            if self.replica.loaded and self._state_service_good():
+                self._outage_is_local, self._unanswered_rounds = False, 0
                 continue
             answers: list[bool | None] = []
 
-            async def ask(peer: Peer, answers: list[bool | None] = answers) -> None:
-                answers.append(await self._peer_good(peer))
+            async def ask_peer(peer: Peer, answers: list[bool | None] = answers) -> None:
+                answers.append(await self._peer_reaches_state(peer))
 
             async with trio.open_nursery() as nursery:
                 for peer in self.settings.peers:
-                    nursery.start_soon(ask, peer)
+                    nursery.start_soon(ask_peer, peer)
             silent = bool(answers) and all(answer is None for answer in answers)
-            self._silent_rounds = self._silent_rounds + 1 if silent else 0
-            self._peers_good = any(answers) or self._silent_rounds >= c.ISOLATED_ROUNDS
+            self._unanswered_rounds = self._unanswered_rounds + 1 if silent else 0
+            self._outage_is_local = any(answers) or self._unanswered_rounds >= c.ISOLATED_ROUNDS
+
+    async def _preferred_controllers_loop(self) -> None:
+        """Ask which controllers hear the leader while workers of their zones report here.
 
-    async def _homes_loop(self) -> None:
-        """Workers that report here are sent back to their own zone once a controller there hears the leader."""
+        These workers are then redirected to a controller in their own zone.
+        """
         while True:
             await trio.sleep(c.HOME_EVERY_S)
             wanted = self.heartbeats.routes.look(self._clock())
             async with trio.open_nursery() as nursery:
                 for peer in (p for p in self.settings.peers if p.node in wanted):
-                    nursery.start_soon(self._ask_home, peer)
+                    nursery.start_soon(self._ask_hears_leader, peer)
 
-    async def _ask_home(self, peer: Peer) -> None:
+    async def _ask_hears_leader(self, peer: Peer) -> None:
         health = await self._peer_health(peer)
         self.heartbeats.routes.heard(peer.node, health is not None and bool(health.get("leader")), self._clock())
 
-    async def _peer_good(self, peer: Peer) -> bool | None:
-        """Whether the state service answers it; None if it does not answer us."""
+    async def _peer_reaches_state(self, peer: Peer) -> bool | None:
+        """Whether the state service answers this peer; None if the peer does not answer."""
         health = await self._peer_health(peer)
         return None if health is None else bool(health.get("state"))
 
     async def _peer_health(self, peer: Peer) -> dict[str, Any] | None:
-        """What another controller says of itself; nothing good if that cannot be read, None if it does not answer."""
+        """The peer's answer to PEER_HEALTH; empty if it cannot be read, None if the peer does not answer."""
         try:
             status, answer = await self._network.request(peer.addr, "GET", PEER_HEALTH, None, c.PROBE_S)
         except (NotSent, Lost):
             return None
         return answer if status == 200 and isinstance(answer, dict) else {}
 
-    async def _types_loop(self) -> None:
-        """A node must know the machine types to decide; once the state service holds them it asks no more."""
+    async def _machine_types_loop(self) -> None:
+        """Ask the cloud for the machine types, without which no submission can be checked.
+
+        Ends once they are known, here or from the state service.
+        """
         while not self.replica.types and not self.users.types:
             try:
                 self.users.types = await self.cloud.types()
@@ -261,7 +289,7 @@
     # --- views ------------------------------------------------------------------------------------
 
     def view(self) -> dict[str, Any]:
-        """For operators: who leads, and if it is this node, machines, drains and teams."""
+        """The administration view: who leads and, if it is this node, machines, jobs, drains and teams."""
         held = self.replica.leader
         answer: dict[str, Any] = {
             "node": self.settings.node,
@@ -297,7 +325,7 @@
     extensions: Sequence[Callable[[ExtensionContext], Extension]] = (),
     on_created: Callable[[Node], None] = lambda node: None,
 ) -> None:
-    """Run a node until it is cancelled, with the extensions that are switched on. `on_created` is shown the node."""
+    """Run a controller until cancelled. `on_created` is called with its node before any loop or listener starts."""
     limit = settings.params.limits.max_connections
     accepted = int(limit * c.SOCKET_SHARE_SERVER)
     by_peers = min(accepted // 5, c.PEER_CONNECTIONS * max(1, len(settings.peers)))
@@ -306,12 +334,13 @@
     on_created(node)
     log.info("version %s", __version__)
     async with trio.open_nursery() as nursery:
-        for handler, address, most in (
+        for handler, address, max_connections in (
             (node.handle, settings.listen, accepted - by_peers),
             (node.handle_peer, settings.peer_listen, by_peers),
         ):
             host, port = split_address(address)
-            server = Server(handler, most, lambda request: request.path == wire.REPORT)
+            # A crowded listener closes connections, except those that carry workers' reports.
+            server = Server(handler, max_connections, lambda request: request.path == wire.REPORT)
             await nursery.start(server.serve, host, port)
         nursery.start_soon(node.run)
         while True:
