--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -79,11 +79,11 @@
         )
         self.users = UserApi(settings, self.watched, self.state, wall, self._progress, self.vouching.tell)
         self.admin = AdminApi(self.watched, self.state, self.view)
-        core = ExtensionContext(
+        context = ExtensionContext(
             settings, self.users, self.watched, self.state, wall, clock, network, lambda: self.leader,
             lambda: LeaderSnapshot(self.heartbeats.leader_contact.requested_at, self._progress),
         )  # fmt: skip
-        self.extensions = Extensions([create(core) for create in extensions])
+        self.extensions = Extensions([create(context) for create in extensions])
         self.images = ImageMemory()
         self.leaderless = LeaderlessReturns(
             params.workers, clock, self.replica, lambda: self.leader is not None, self.workers, self.peers, self.cloud
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -1,4 +1,9 @@
-"""What users ask: submit, look up, cancel. Served by every node, decided by the state service."""
+"""The users' interface: submit, look up and cancel jobs. Every node serves it; the state service decides.
+
+A submission or cancellation is confirmed only after its transaction was applied, and an answer about a job that is not
+over rests on a reading that is no older than the request. If neither is possible in time the answer is 503 with
+Retry-After.
+"""
 
 import logging
 import math
@@ -26,43 +31,48 @@
 log = logging.getLogger(__name__)
 
 
+# Called with job id, record and version of a stored cancellation before its user gets the answer.
 CancellationNotifier = Callable[[str, store.JobRecord, int], Awaitable[None]]
 
 
 async def notify_nobody(job_id: str, record: store.JobRecord, version: int) -> None:
-    """Nobody else is told of a cancellation."""
+    """A CancellationNotifier that notifies no other controller."""
 
 
 class Malformed(Exception):
-    """Answered with 400."""
+    """The description does not have the form or the amounts that the protocol allows; answered with 400."""
 
 
 class Unsatisfiable(Exception):
-    """Answered with 422."""
+    """The job is well-formed, but could never run here; answered with 422."""
 
 
 @dataclass(slots=True)
 class JobProgress:
-    """What the leader shows users beyond the protocol; may be a little old, never needed to answer."""
+    """What the leader adds to a job's recorded state. It may be a little old; an answer never depends on it."""
 
-    running: int
-    done: int
+    running: int  # tasks
+    done: int  # tasks
     reason: Reason
-    waited_s: float
+    waited_s: float  # how long the reason has held
 
 
 @dataclass(slots=True)
 class _Submission:
+    """A checked job on its way into the state service."""
+
     spec: JobSpec
-    settled: trio.Event = field(default_factory=trio.Event)
-    created: bool | None = None
-    parts: list[str] = field(default_factory=list)  # of a description that one value cannot hold
+    settled: trio.Event = field(default_factory=trio.Event)  # its transaction has ended, whatever the outcome
+    created: bool | None = None  # False: the id exists already; None: not decided
+    parts: list[str] = field(default_factory=list)  # pieces of a description that one value cannot hold
 
     def changes(self, at: float) -> list[dict[str, Any]]:
+        """The writes that store the job; `at`: time of day of the submission, in seconds."""
         return store.created(self.spec, self.parts, at)
 
 
 def parse_job(body: bytes) -> Any:
+    """The JSON object in the body. Raises Malformed if there is none."""
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as error:
@@ -73,6 +83,7 @@
 
 
 def check_job(value: Any) -> JobSpec:
+    """The description, with repeated `needs` removed. Raises Malformed."""
     try:
         spec: JobSpec = wire.convert(value, JobSpec)
     except msgspec.ValidationError as error:
@@ -97,6 +108,7 @@
 
 
 def check_possible(spec: JobSpec, settings: Settings, types: list[MachineType]) -> None:
+    """Raise Unsatisfiable if the job exceeds its team's limit or can never be placed on these machine types."""
     team = next((t for t in settings.params.teams if t.name == spec.team), None)
     if team is None:
         raise Unsatisfiable("unknown team")
@@ -108,14 +120,17 @@
         raise Unsatisfiable(f"a task of {reasons.each(spec)} fits no allowed machine type ({allowed})")
     if spec.zone is not None and not any(spec.zone in t.zones for t in fitting):
         raise Unsatisfiable(f"no machine type that a task fits exists in zone {spec.zone[: c.NAME_SHOWN]}")
-    if spec.spread and spec.tasks > 1 and spec.kind is not Kind.ARRAY:  # all at once, half of them in one zone at most
+    if spec.spread and spec.tasks > 1 and spec.kind is not Kind.ARRAY:  # they run at once, at most half in one zone
         zones = {zone for t in fitting for zone in t.zones if spec.zone in (None, zone)}
         if spec.one_zone or len(zones) < 2:
             raise Unsatisfiable("its tasks must be apart, and there is only one zone for them all")
 
 
 def recorded_reason(replica: Replica, job_id: str) -> Reason | None:
-    """What the records alone say of a job: it waits for others, or was cancelled with one that it needs."""
+    """Why a job waits or ended as far as the records tell: it waits for other jobs, or one that it needs was cancelled.
+
+    None if the records give no reason.
+    """
     entry = replica.jobs[job_id]
     if entry.state in wire.FINAL:
         through = entry.through
@@ -125,13 +140,20 @@
 
 
 def retry_later() -> Response:
+    """The answer to a request that cannot be decided in time: 503 with Retry-After."""
     return Response(503, {"error": "cannot be decided now"}, {"Retry-After": str(c.RETRY_AFTER_S)})
 
 
 class UserApi:
+    """Jobs as users see them.
+
+    `wall`: time of day, in seconds; `progress`: what the leader says of a job; `notify_cancelled`: called after a
+    cancellation is stored and before its user is answered.
+    """
+
     def __init__(
         self, settings: Settings, watched: Watched, state: StateClient, wall: Callable[[], float],
-        progress: Callable[[str], JobProgress | None], tell: CancellationNotifier = notify_nobody,
+        progress: Callable[[str], JobProgress | None], notify_cancelled: CancellationNotifier = notify_nobody,
     ) -> None:  # fmt: skip
         self._settings = settings
         self._watched = watched
@@ -139,12 +161,13 @@
         self._state = state
         self._wall = wall
         self._progress = progress
-        self._tell = tell
+        self._notify_cancelled = notify_cancelled
         self._queue: dict[str, _Submission] = {}
         self._wake = trio.Event()
-        self.types: list[MachineType] = []  # as this node asked the cloud; the state service's copy serves as well
+        self.types: list[MachineType] = []  # from the cloud; used until the state service has them
 
     async def handle(self, request: Request) -> Response:
+        """Serve a request below wire.JOBS; 404 for any other path."""
         path = request.path.partition("?")[0]
         try:
             if path == wire.JOBS and request.method == "POST":
@@ -163,9 +186,10 @@
     # --- submitting -------------------------------------------------------------------------------
 
     async def submit(self, body: bytes) -> Response:
-        """A sound description goes straight into a transaction, which finds out itself whether the id is known.
+        """Create the job with 201, or answer with its present state if the id is known.
 
-        Only what is about to be refused is looked up first: a known id counts more than what the body now says.
+        A valid description is written without a lookup: the transaction itself finds out whether the id is known. An
+        invalid one is refused only if the id is unknown, since a known id counts more than what the body now says.
         """
         try:
             value = parse_job(body)
@@ -173,22 +197,25 @@
             return Response(400, {"error": str(error)})
         job_id = wire.job_id_of(value)
         if isinstance(job_id, str) and job_id in self._replica.jobs:
-            return await self._known(job_id) or retry_later()
+            return await self._known_job(job_id) or retry_later()
         try:
             spec = self.check(value)
         except Malformed as error:
-            return await self._known(job_id) or Response(400, {"error": str(error)})
+            return await self._known_job(job_id) or Response(400, {"error": str(error)})
         except Unsatisfiable as error:
-            return await self._known(job_id) or Response(422, {"error": str(error)})
+            return await self._known_job(job_id) or Response(422, {"error": str(error)})
         if spec is None:
-            return await self._known(job_id) or retry_later()
+            return await self._known_job(job_id) or retry_later()
         wrong = await self.find_invalid_dependency(spec)
         if wrong is not None:
-            return await self._known(job_id) or Response(422, {"error": wrong})
+            return await self._known_job(job_id) or Response(422, {"error": wrong})
         return await self._create(spec)
 
     async def find_invalid_dependency(self, spec: JobSpec) -> str | None:
-        """What is wrong with the jobs named; only a current reading may say that one was never accepted."""
+        """What is wrong with the jobs in `needs`, as text for the user; None if nothing is.
+
+        Only a current reading may tell that a job was never accepted. Raises Away if there is none.
+        """
         needs = spec.needs or []
         if any(name not in self._replica.jobs for name in needs):
             await self._watched.sync()
@@ -201,9 +228,9 @@
         return None
 
     def check(self, value: Any) -> JobSpec | None:
-        """The sound description; None if this node cannot tell because it knows no machine types yet.
+        """The valid description; None if this node cannot tell because it knows no machine types yet.
 
-        Raises Malformed or Unsatisfiable if it will never be one.
+        Raises Malformed or Unsatisfiable if it can never be accepted.
         """
         spec = check_job(value)
         limits = self._settings.params.state
@@ -216,8 +243,11 @@
         check_possible(spec, self._settings, types)
         return spec
 
-    async def _known(self, job_id: object) -> Response | None:
-        """A known job's present state; it counts more than what the body now says."""
+    async def _known_job(self, job_id: object) -> Response | None:
+        """A known job's present state; None if the job is unknown.
+
+        Unless the job is over, reads the state service first. Raises Away if there is no current reading.
+        """
         if not store.is_job_id(job_id):
             return None
         assert isinstance(job_id, str)
@@ -228,10 +258,13 @@
         return Response(200, self.describe(job_id, entry)) if entry is not None else None
 
     async def _create(self, spec: JobSpec) -> Response:
-        if len(self._queue) >= self._state.writes_within(c.SUBMIT_WAIT_S):  # its turn would not come in time
+        """Queue the job for `create_loop` and wait for the outcome, at most SUBMIT_WAIT_S."""
+        if len(self._queue) >= self._state.writes_within(c.SUBMIT_WAIT_S):  # it would not be written in time
             return retry_later()
         parts = store.parts_of(spec, self._settings.params.state.value_kb)
-        submission = self._queue.setdefault(spec.id, _Submission(spec, parts=parts))  # twice in flight: one conflicts
+        submission = self._queue.setdefault(
+            spec.id, _Submission(spec, parts=parts)
+        )  # if two are in flight, one conflicts
         self._wake.set()
         with trio.move_on_after(c.SUBMIT_WAIT_S):
             await submission.settled.wait()
@@ -239,21 +272,25 @@
             return retry_later()
         if submission.created:
             return Response(201, wire.job_answer(spec.id, JobState.QUEUED))
-        return await self._known(spec.id) or retry_later()
+        return await self._known_job(spec.id) or retry_later()
 
     async def create_loop(self) -> None:
-        """Submissions that wait together are committed together; a slow answer holds up few of those behind it."""
+        """Commit queued submissions in batches, until cancelled.
+
+        CREATES_AT_ONCE transactions may be in flight, so that a slow one delays few submissions.
+        """
         async with trio.open_nursery() as nursery:
-            flying = trio.CapacityLimiter(c.CREATES_AT_ONCE)
+            in_flight = trio.CapacityLimiter(c.CREATES_AT_ONCE)
             while True:
                 if not self._queue:
                     self._wake = trio.Event()
                     await self._wake.wait()
-                token = object()
-                await flying.acquire_on_behalf_of(token)
-                nursery.start_soon(self._settle, self._take(), flying, token)
+                slot = object()
+                await in_flight.acquire_on_behalf_of(slot)
+                nursery.start_soon(self._process_batch, self._take_batch(), in_flight, slot)
 
-    def _take(self) -> list[_Submission]:
+    def _take_batch(self) -> list[_Submission]:
+        """Remove from the queue what fits into one transaction, and at least one submission."""
         batch: list[_Submission] = []
         changes = size = 0
         for submission in self._queue.values():
@@ -266,29 +303,30 @@
             del self._queue[submission.spec.id]
         return batch
 
-    async def _settle(self, batch: list[_Submission], flying: trio.CapacityLimiter, token: object) -> None:
+    async def _process_batch(self, batch: list[_Submission], in_flight: trio.CapacityLimiter, slot: object) -> None:
         try:
             await self._commit(list(batch))
         finally:
-            flying.release_on_behalf_of(token)
+            in_flight.release_on_behalf_of(slot)
             for submission in batch:
                 submission.settled.set()
 
     async def _commit(self, batch: list[_Submission]) -> None:
+        """Store the batch, without those whose ids exist. Submissions that cannot be decided keep `created` None."""
         while batch:
             keys = [store.JOB + s.spec.id for s in batch]
             writes = [change for s in batch for change in s.changes(self._wall())]
             try:
-                outcome = await self._create_now([wire.when(key, 0) for key in keys], writes)
+                outcome = await self._create_with_retry([wire.when(key, 0) for key in keys], writes)
             except Refused as error:
                 if len(batch) == 1:
-                    log.error("%s is refused: %s", keys[0], error)
+                    log.error("%s is refused by the state service, the job is not created: %s", keys[0], error)
                     return
-                for submission in batch:  # one of them is at fault, and must not take the others along
+                for submission in batch:  # the faulty one must not make the others fail
                     await self._commit([submission])
                 return
             except (Away, Unsure) as error:
-                log.debug("submissions put off: %s", error)
+                log.debug("submissions not stored, their users are asked to retry: %s", error)
                 return
             if outcome.applied:
                 for submission in batch:
@@ -299,8 +337,11 @@
                     submission.created = False
             batch = [s for s in batch if s.created is None]
 
-    async def _create_now(self, conditions: list[dict[str, Any]], writes: list[dict[str, Any]]) -> Outcome:
-        """Once more if there is no answer: its user waits, and an id that is there by then is simply known."""
+    async def _create_with_retry(self, conditions: list[dict[str, Any]], writes: list[dict[str, Any]]) -> Outcome:
+        """Run the transaction, once more if there is no answer, since users wait for it.
+
+        If the first try was applied after all, the second finds the ids known, which is harmless.
+        """
         try:
             return await self._state.txn(conditions, writes, seconds=c.CREATE_TRY_S)
         except Unsure:
@@ -309,7 +350,7 @@
     # --- looking up and cancelling ----------------------------------------------------------------
 
     def describe(self, job_id: str, entry: Entry) -> dict[str, Any]:
-        """The answer to a poll, from this node's copy as it stands."""
+        """The answer to a poll, from this node's copy as it stands. Also used by pipelines."""
         tasks = entry.record.tasks
         if entry.state in wire.FINAL:
             answer = wire.job_answer(job_id, entry.state, tasks if entry.state is JobState.DONE else 0, 0)
@@ -330,12 +371,16 @@
         return answer
 
     async def poll(self, job_id: str) -> Response:
+        """The job's state, or 404. Raises Away if there is no current reading."""
         if not store.is_job_id(job_id):
             return Response(404, {"error": "no such job"})
-        return await self._known(job_id) or Response(404, {"error": "no such job"})
+        return await self._known_job(job_id) or Response(404, {"error": "no such job"})
 
     async def cancel(self, job_id: str) -> Response:
-        """Cancelled only once the state service holds that; a job already done stays done."""
+        """Cancel the job; the user is told so only once the state service holds it. A job already done stays done.
+
+        Gives up after SUBMIT_WAIT_S with 503; the cancellation may have been stored by then.
+        """
         if not store.is_job_id(job_id):
             return Response(404, {"error": "no such job"})
         with trio.move_on_after(c.SUBMIT_WAIT_S):
@@ -349,8 +394,8 @@
                 record = store.cancelled(entry.record, self._settings.params.state.value_kb, self._wall())
                 key = store.JOB + job_id
                 outcome = await self._state.txn([wire.when(key, entry.version)], [wire.put(key, wire.to_plain(record))])
-                if outcome.applied:  # known here before its user is told: others vouch by what this node knows
+                if outcome.applied:  # learn it before the user is told: peers rely on what this node knows
                     self._watched.learn([(job_id, record, outcome.revision)])
-                    await self._tell(job_id, record, outcome.revision)
+                    await self._notify_cancelled(job_id, record, outcome.revision)
                     return Response(200, wire.job_answer(job_id, JobState.CANCELLED))
         return retry_later()
