--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -1,6 +1,9 @@
-"""Leader and followers in touch: what followers may show and answer, and that they do not stand in meanwhile.
+"""The regular exchange between the leader and its followers.
 
-A follower asks the leader every `CONTACT_EVERY_S`; the leader asks all others at the same pace for their promise.
+Every `CONTACT_EVERY_S` a follower asks the leader (PEER_CONTACT) what it may show users of each job and which
+heartbeats it may answer (delegation). At the same pace the leader tells every other controller that it is alive
+(PEER_REVOKE_RENEWAL); each acknowledges that it will not renew workers' leases on the leader's behalf for a while (see
+`heartbeats/handler.py`, delegated lease renewal). The leader also hands over from here if it cannot do its work.
 """
 
 import logging
@@ -29,31 +32,37 @@
 from pepperlatch.settings import Peer, Settings
 
 log = logging.getLogger(__name__)
-IMAGES, DELEGATION = "images", "delegation"  # among the rows of jobs, whose ids all begin with run-
+IMAGES, DELEGATION = "images", "delegation"  # keys beside those of jobs in the answer; job ids all begin with run-
 PEER_CONTACT, PEER_REVOKE_RENEWAL = "/peer/contact", "/peer/bar"
 
 
 class PeerMessage(msgspec.Struct):
-    node: str
-    token: int
-    relay: list[str] = []  # machines that the leader reaches only through others
-    images: int = 0  # the last number of an image's use that the leader has told
-    delegation: DelegationStatement | None = None  # of a follower that takes delegations
-    cancelled: list[CancelledOn] = []  # of the leader: machines that may hold a cancelled task
-    witnesses: list[str] = []  # of the leader: machines that it hears of
+    """Body of PEER_CONTACT (from a follower) and PEER_REVOKE_RENEWAL (from the leader)."""
 
+    node: str  # the sender
+    token: int  # of the leader's term, as the sender knows it
+    relay: list[str] = []  # from the leader: machines that it reaches only through other controllers
+    images: int = 0  # from a follower: the number of the last use of an image that this leader has reported to it
+    delegation: DelegationStatement | None = None  # from a follower that accepts delegations: the grants that it holds
+    cancelled: list[CancelledOn] = []  # from the leader: machines that may hold a cancelled task
+    witnesses: list[str] = []  # from the leader: addresses of machines that it hears from
 
-def _message(body: bytes) -> PeerMessage | None:
+
+def _parse_message(body: bytes) -> PeerMessage | None:
+    """The message, or None (logged) if it is malformed."""
     try:
         message: PeerMessage = wire.convert(orjson.loads(body), PeerMessage)
         return message
     except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
-        log.info("a malformed message of another controller is refused: %s", error)
+        log.info("refused a malformed contact message from another controller: %s", error)
         return None
 
 
 class Contacts:
-    """`leader`: what this node does while it leads, None while it does not."""
+    """The exchange as both leader and follower do it.
+
+    `leader` returns the node's `Leader` while it leads, else None; `clock` is a steady clock, in seconds.
+    """
 
     def __init__(
         self, settings: Settings, network: Network, clock: Callable[[], float], owner: Owner, replica: Replica,
@@ -71,35 +80,41 @@
         self._images = images
         self._leader = leader
         self._leaderless = leaderless
-        self._images_told = (0, 0)  # by the leader with this token, up to this number of its own
-        self._shown: tuple[int, float, dict[str, Any]] = (0, float("-inf"), {})  # under this token, since then
+        self._images_received = (0, 0)  # token of the leader, and the last of its numbers that this node has
+        self._progress_cache: tuple[int, float, dict[str, Any]] = (0, float("-inf"), {})  # token, time made, rows
         self._peer_answered_at = float("-inf")
 
-    def _peer(self, node: str) -> Peer | None:
+    def _find_peer(self, node: str) -> Peer | None:
         return next((peer for peer in self._settings.peers if peer.node == node), None)
 
-    # --- being asked ------------------------------------------------------------------------------
+    # --- serving requests -------------------------------------------------------------------------
 
     async def serve_contact(self, body: bytes) -> Response:
-        """A follower asks what it may show users, and may stand in for us from now on."""
-        leader, asked = self._leader(), _message(body)
-        if asked is None:
+        """As the leader: answer a follower with jobs' progress, uses of images and its delegation; 404 if not leading.
+
+        From now on the follower may renew leases on the leader's behalf, should it lose contact.
+        """
+        leader, message = self._leader(), _parse_message(body)
+        if message is None:
             return Response(400, {"error": "wanted: node and token"})
-        if leader is None or asked.token != leader.term.token or leader.term.over:
+        if leader is None or message.token != leader.term.token or leader.term.over:
             return Response(404, {"error": "does not lead"})
         now = self._clock()
-        leader.cluster.answered_peer(asked.node, now)
-        jobs = self._shown_jobs(leader, now)
-        if uses := self._images.after(asked.images):
-            jobs[IMAGES] = uses
-        if asked.delegation is not None and self._peer(asked.node) is not None:
-            delegation = await self._delegate(leader, asked.node, asked.delegation)
+        leader.cluster.answered_peer(message.node, now)
+        answer = self._job_progress(leader, now)
+        if uses := self._images.after(message.images):
+            answer[IMAGES] = uses
+        if message.delegation is not None and self._find_peer(message.node) is not None:
+            delegation = await self._delegate(leader, message.node, message.delegation)
             if delegation is not None:
-                jobs[DELEGATION] = msgspec.to_builtins(delegation)
-        return Response(200, jobs)
+                answer[DELEGATION] = msgspec.to_builtins(delegation)
+        return Response(200, answer)
 
     async def _delegate(self, leader: Leader, follower: str, statement: DelegationStatement) -> DelegationAnswer | None:
-        """None if the leader may not, or is busy: the contact itself must not wait for that."""
+        """The follower's new delegation; None if the leader may not delegate now, or takes over DELEGATION_WAIT_S.
+
+        The contact itself must not wait for a busy leader.
+        """
         reply: Reply[DelegationAnswer | None] = Reply()
         proven_at = leader.term.proven_at()
         self._owner.post(lambda: leader.on_statement(follower, statement, proven_at, reply))
@@ -107,108 +122,122 @@
             return await reply.get()
         return None
 
-    def _shown_jobs(self, leader: Leader, now: float) -> dict[str, Any]:
-        """What followers may show users of each job; made once for those that ask at about the same time."""
-        if self._shown[0] != leader.term.token or now - self._shown[1] > c.SHOWN_S:
+    def _job_progress(self, leader: Leader, now: float) -> dict[str, Any]:
+        """Rows by job id: tasks running, tasks done, reason, seconds since that reason, kind of reason.
+
+        Followers show them to users. Kept for SHOWN_S, for followers that ask at about the same time.
+        """
+        if self._progress_cache[0] != leader.term.token or now - self._progress_cache[1] > c.SHOWN_S:
             rows = {
                 j.spec.id: [j.running(), len(j.done), j.reason.text(), round(now - j.reason_since, 1), j.reason.kind]
                 for j in leader.cluster.jobs.values() if not j.over
             }  # fmt: skip
-            self._shown = (leader.term.token, now, rows)
-        return dict(self._shown[2])
+            self._progress_cache = (leader.term.token, now, rows)
+        return dict(self._progress_cache[2])
 
     def serve_revocation(self, body: bytes) -> Response:
-        """The leader is in touch."""
-        message = _message(body)
+        """As a follower: note that the leader is alive and stop renewing leases on its behalf for a while.
+
+        The answer lists the machines whose leases this node renewed (see `HeartbeatHandler.revoke_renewal`).
+        """
+        message = _parse_message(body)
         if message is None:
             return Response(400, {"error": "wanted: node and token"})
         self._leaderless.told(message.cancelled, message.witnesses)
         return Response(200, self._heartbeats.revoke_renewal(message.relay))
 
-    # --- asking -----------------------------------------------------------------------------------
+    # --- sending requests -------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Keep in touch until cancelled; a leader that nobody reaches, or that cannot read, hands over."""
+        """Exchange messages until cancelled. A leader that nobody reaches, or whose reads fail, hands over."""
         while True:
             await trio.sleep(c.CONTACT_EVERY_S)
-            held, leader = self._replica.leader, self._leader()
+            known_leader, leader = self._replica.leader, self._leader()
             if leader is not None:
-                message = self._to_others(leader)
+                message = self._leader_message(leader)
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._delegate_to_itself, leader)
+                    nursery.start_soon(self._delegate_to_self, leader)
                     for peer in self._settings.peers:
-                        nursery.start_soon(self._bar, leader, peer, message)
+                        nursery.start_soon(self._revoke_renewal, leader, peer, message)
                     if self._clock() - self._replica.current_at > c.VOUCH_AFTER_S:
                         nursery.start_soon(self._vouching.ask, leader.term)
-                if why := self._cannot_lead(leader):
-                    log.info("%s: it hands over", why)
+                if reason := self._handover_reason(leader):
+                    log.info("handing over leadership: %s", reason)
                     await self._leadership.resign(c.HANDOVER_PAUSE_S)
-            elif held is not None and (peer_leads := self._peer(held[0])) is not None:
-                await self._contact_leader(peer_leads, held[1])
+            elif known_leader is not None and (leading_peer := self._find_peer(known_leader[0])) is not None:
+                await self._contact_leader(leading_peer, known_leader[1])
 
-    def _cannot_lead(self, leader: Leader) -> str:
-        """Keeping the lease is not enough to lead; why another should."""
-        if self._alone(leader):
+    def _handover_reason(self, leader: Leader) -> str:
+        """Why another controller should lead although this one keeps its lease, as text for the log; "" if none."""
+        if self._isolated(leader):
             return "neither workers nor other controllers reach this leader"
         term = leader.term
         if term.checked_at - max(self._replica.current_at, term.answered_since) > c.HANDOVER_STALE_S:
-            return "this leader's lease is answered, and its reads are not"
+            return "the state service answers this leader's lease renewals, but not its reads"
         return ""
 
-    def _alone(self, leader: Leader) -> bool:
-        """Reports must come in, directly or passed on."""
+    def _isolated(self, leader: Leader) -> bool:
+        """Whether no report, direct or forwarded, and no answer of a peer came for HANDOVER_REPORTS report intervals.
+
+        Never if no machine is up.
+        """
         machines = [m for m in leader.cluster.machines.values() if m.status is Status.UP]
         since = max([leader.cluster.started, self._peer_answered_at, *(m.seen_at for m in machines)])
         return bool(machines) and self._clock() - since > c.HANDOVER_REPORTS * self._settings.params.workers.report_s
 
     async def _contact_leader(self, peer: Peer, token: int) -> None:
+        """As a follower: report to the leader and take in its answer. Without one, everything stays as it was."""
         sent = self._clock()
-        told = self._images_told[1] if self._images_told[0] == token else 0
+        received = self._images_received[1] if self._images_received[0] == token else 0
         statement = self._heartbeats.delegated_answers.statement(token, sent)
-        message = PeerMessage(self._settings.node, token, images=told, delegation=statement)
-        answer = await self._ask_peer(peer, PEER_CONTACT, message)
+        message = PeerMessage(self._settings.node, token, images=received, delegation=statement)
+        answer = await self._request(peer, PEER_CONTACT, message)
         if answer is not None:
-            self._take_delegation(statement, answer.pop(DELEGATION, None), token, sent)
-            self._images_told = (token, max(told, self._images.learn(answer.pop(IMAGES, []))))
+            self._apply_delegation(statement, answer.pop(DELEGATION, None), token, sent)
+            self._images_received = (token, max(received, self._images.learn(answer.pop(IMAGES, []))))
             self._heartbeats.leader_contact = LeaderContact(sent, token, answer)
 
-    def _take_delegation(self, statement: DelegationStatement, plain: Any, token: int, sent: float) -> None:
-        """What the leader lets this node answer; nothing if it is of an earlier version."""
-        if plain is None:
+    def _apply_delegation(self, statement: DelegationStatement, encoded: Any, token: int, sent: float) -> None:
+        """Apply the leader's answer to the statement sent at `sent`; it is None from a leader of an earlier version."""
+        if encoded is None:
             return
         try:
-            answer: DelegationAnswer = wire.convert(plain, DelegationAnswer)
+            answer: DelegationAnswer = wire.convert(encoded, DelegationAnswer)
         except msgspec.ValidationError as error:
-            log.info("a delegation that cannot be read: %s", error)
+            log.info("ignored a malformed delegation from the leader: %s", error)
             return
         self._heartbeats.delegated_answers.on_leader_answer(statement, answer, token, sent)
 
-    async def _delegate_to_itself(self, leader: Leader) -> None:
-        """What reports to the leader's own listener is answered as at any follower's."""
+    async def _delegate_to_self(self, leader: Leader) -> None:
+        """As the leader: be a follower of itself, so that workers that report here are answered as anywhere else."""
         token, sent = leader.term.token, self._clock()
         statement = self._heartbeats.delegated_answers.statement(token, sent)
         answer = await self._delegate(leader, self._settings.node, statement)
         if answer is not None:
             self._heartbeats.delegated_answers.on_leader_answer(statement, answer, token, sent)
 
-    def _to_others(self, leader: Leader) -> PeerMessage:
-        """What the leader tells all other controllers, so that they need not ask."""
+    def _leader_message(self, leader: Leader) -> PeerMessage:
+        """What the leader sends to all other controllers, unasked."""
         now, cluster = self._clock(), leader.cluster
         return PeerMessage(
             self._settings.node, leader.term.token, relay=sorted(cluster.relayed(now)),
             cancelled=cluster.cancelled_on(now), witnesses=cluster.last_heard(),
         )  # fmt: skip
 
-    async def _bar(self, leader: Leader, peer: Peer, message: PeerMessage) -> None:
-        """Counted from before the question, the promise is shorter for us than for the one that gave it."""
+    async def _revoke_renewal(self, leader: Leader, peer: Peer, message: PeerMessage) -> None:
+        """As the leader: have the peer stop renewing leases on its behalf, and record its acknowledgement.
+
+        The leader counts from before its request, so the acknowledgement ends earlier for it than for the peer.
+        """
         sent = self._clock()
-        answer = await self._ask_peer(peer, PEER_REVOKE_RENEWAL, message)
+        answer = await self._request(peer, PEER_REVOKE_RENEWAL, message)
         if answer is not None:
             self._peer_answered_at = self._clock()
             until = sent + c.STAND_IN_BAR_S - c.STAND_IN_SLACK_S
             self._owner.post(lambda: leader.cluster.on_promise(peer.node, answer, until, self._clock()))
 
-    async def _ask_peer(self, peer: Peer, path: str, message: PeerMessage) -> dict[str, Any] | None:
+    async def _request(self, peer: Peer, path: str, message: PeerMessage) -> dict[str, Any] | None:
+        """The peer's answer, or None if there is no usable one within PROBE_S."""
         try:
             body = msgspec.to_builtins(message)
             status, answer = await self._network.request(peer.addr, "POST", path, body, c.PROBE_S)
