--- a/pepperlatch/controller/peers.py
+++ b/pepperlatch/controller/peers.py
@@ -1,4 +1,7 @@
-"""Reaching workers through other controllers, when a cut lies between them and the leader."""
+"""Access to workers through other controllers, for when the network between them and the leader is cut.
+
+`LeaderlessReturns` also uses it on a follower.
+"""
 
 import contextlib
 from collections.abc import Awaitable, Callable
@@ -19,45 +22,54 @@
 
 
 class InspectMessage(msgspec.Struct):
+    """Body of PEER_INSPECT: ask the worker at `addr` for a report."""
+
     addr: str
-    others: list[str] = []  # machines that the leader hears of
+    others: list[str] = []  # addresses of machines that the leader hears from
 
 
 class FenceMessage(msgspec.Struct):
+    """Body of PEER_FENCE: show the leader's token to the worker at `addr`, without orders."""
+
     addr: str
     token: int
     session: int
 
 
 class FenceResult(msgspec.Struct):
+    """The worker's answer to a fencing command."""
+
     executed: bool
     report: Report
 
 
 class PeerProxy:
+    """Sends requests for workers to other controllers, and serves theirs."""
+
     def __init__(self, settings: Settings, network: Network, workers: WorkerClient) -> None:
         self._settings = settings
         self._network = network
         self._workers = workers
 
-    # --- asking others ----------------------------------------------------------------------------
+    # --- sending requests -------------------------------------------------------------------------
 
     async def inspect(self, addr: str, others: list[str]) -> tuple[Report | None, bool]:
-        """Whether a machine that we cannot reach is alive: others may reach it. All are asked at once.
+        """Ask all other controllers at once for a report of a machine that this one cannot reach.
 
-        Also whether any of them can tell: one that does not answer, or reaches none of the `others` either, cannot
-        (one of an earlier version does not say that).
+        Returns the first report (None if nobody got one), and whether any controller can tell that the machine is
+        silent. One that does not answer, or that reaches none of the `others` either, cannot; one of an earlier version
+        does not say what it reaches and counts as able to tell. Without other controllers the second value is True.
         """
         found: list[Report] = []
-        heard = 0
+        conclusive = 0
 
-        async def ask(peer: Peer) -> None:
-            nonlocal heard
+        async def ask_peer(peer: Peer) -> None:
+            nonlocal conclusive
             try:
                 status, answer = await self._network.request(
                     peer.addr, "POST", PEER_INSPECT, {"addr": addr, "others": others}, c.PROBE_S * 2.5
                 )
-                heard += status == 200 or bool(answer.get("reaches", True))
+                conclusive += status == 200 or bool(answer.get("reaches", True))
                 if status == 200:
                     found.append(wire.convert(answer, Report))
                     nursery.cancel_scope.cancel()
@@ -66,13 +78,14 @@
 
         async with trio.open_nursery() as nursery:
             for peer in self._settings.peers:
-                nursery.start_soon(ask, peer)
-        return (found[0] if found else None), heard > 0 or not self._settings.peers
+                nursery.start_soon(ask_peer, peer)
+        return (found[0] if found else None), conclusive > 0 or not self._settings.peers
 
     async def fence(self, addr: str, zone: str, token: int, session: int) -> FenceResult:
-        """Have another controller show our token to a worker; those in its zone are asked first.
+        """Have another controller show the leader's token to a worker. Raises Lost if none of FENCE_PEERS succeeds.
 
-        Carries no orders: a copy that arrives late can do no more than the token itself.
+        Controllers in the worker's zone are asked first. The command carries no orders, so a copy that arrives late has
+        no effect beyond that of the token itself.
         """
         peers = sorted(self._settings.peers, key=lambda p: p.zone != zone)
         for peer in peers[: c.FENCE_PEERS]:
@@ -84,18 +97,21 @@
                     return fenced
             except (NotSent, Lost, msgspec.ValidationError):
                 continue
-        raise Lost(f"{addr}: through nobody")
+        raise Lost(f"{addr}: no other controller reached the worker")
 
-    # --- being asked ------------------------------------------------------------------------------
+    # --- serving requests -------------------------------------------------------------------------
 
     async def serve(self, request: Request) -> Response:
-        tell: Callable[[bytes], Awaitable[Response]] = self._fence if request.path == PEER_FENCE else self._inspect
+        """Serve PEER_INSPECT or PEER_FENCE: 200 with the worker's answer, 504 if it gave none, 400 if malformed."""
+        handler: Callable[[bytes], Awaitable[Response]] = (
+            self._serve_fence if request.path == PEER_FENCE else self._serve_inspect
+        )
         try:
-            return await tell(request.body)
+            return await handler(request.body)
         except (orjson.JSONDecodeError, msgspec.ValidationError, SettingsError) as error:
             return Response(400, {"error": str(error)})
 
-    async def _inspect(self, body: bytes) -> Response:
+    async def _serve_inspect(self, body: bytes) -> Response:
         message = wire.convert(orjson.loads(body), InspectMessage)
         try:
             return Response(200, wire.to_plain(await self._workers.inspect(message.addr)))
@@ -103,10 +119,13 @@
             return Response(504, {"error": str(error), "reaches": await self.reaches_any(message.others)})
 
     async def reaches_any(self, others: list[str]) -> bool:
-        """Whether any of these machines answers us: else we are cut off from them all, and cannot tell of one."""
+        """Whether any of the first WITNESS_ASKS of these machines answers this node.
+
+        If none does, this node is cut off from them all and its failure to reach some other machine proves nothing.
+        """
         reached = False
 
-        async def ask(addr: str) -> None:
+        async def ask_machine(addr: str) -> None:
             nonlocal reached
             with contextlib.suppress(NotSent, Lost, SettingsError):
                 await self._workers.inspect(addr)
@@ -115,10 +134,10 @@
 
         async with trio.open_nursery() as nursery:
             for addr in others[: c.WITNESS_ASKS]:
-                nursery.start_soon(ask, addr)
+                nursery.start_soon(ask_machine, addr)
         return reached
 
-    async def _fence(self, body: bytes) -> Response:
+    async def _serve_fence(self, body: bytes) -> Response:
         message = wire.convert(orjson.loads(body), FenceMessage)
         try:
             executed, report = await self._workers.command(
