--- a/pepperlatch/controller/extensions.py
+++ b/pepperlatch/controller/extensions.py
@@ -1,9 +1,9 @@
-"""The seam for subsystems: what a controller offers to a part that is switched on, and what it takes from one.
+"""The interface between a controller and its optional extensions (for example the console).
 
-A part has keys of its own in the state service (below `prefix`, never below `j/` or `f/`), answers paths of its
-own, may do what only the leader does while its term lasts, and may listen to what the leader decides and sees. It
-uses the same core as users do; nothing here knows any part. A part that raises is logged and skipped, and its path
-answers 500: the rest goes on.
+An extension has keys of its own in the state service (below `prefix`, never below `j/` or `f/`), serves paths of its
+own, may run code only while its node leads, and may listen to what the leader decides and observes. It uses the same
+interfaces as users do; this module knows no extension by name. An extension that raises is logged: its listener is
+dropped for the term, its loops are restarted, its path answers 500. Everything else goes on.
 """
 
 import logging
@@ -34,53 +34,57 @@
 
 @dataclass(slots=True)
 class LeaderSnapshot:
-    """What a node that does not lead knows from the leader: when it asked, and of each job what was answered."""
+    """What a follower learned from the leader with its last contact."""
 
-    requested_at: float
-    progress: Callable[[str], JobProgress | None]
+    requested_at: float  # this node's steady clock, in seconds; -inf if there was no answer yet
+    progress: Callable[[str], JobProgress | None]  # by job id
 
 
 @dataclass(slots=True)
 class ExtensionContext:
-    """What a part may use of the node that it runs in."""
+    """What an extension may use of the controller that it runs in."""
 
     settings: Settings
     users: UserApi
     watched: Watched
     state: StateClient
-    wall: Callable[[], float]
-    clock: Callable[[], float]
+    wall: Callable[[], float]  # time of day, in seconds
+    clock: Callable[[], float]  # steady, in seconds
     network: Network
-    current_leader: "Callable[[], Leader | None]"
+    current_leader: "Callable[[], Leader | None]"  # None while this node does not lead
     leader_snapshot: Callable[[], LeaderSnapshot]
 
 
 class Extension(Protocol):
+    """What an extension implements. All methods may raise; `Extensions` isolates the failure."""
+
     name: str
     prefix: str  # of its keys in the state service
-    paths: Sequence[str] = ()  # on the users' listener: each itself and all below it
-    operator_paths: Sequence[str] = ()  # on the controllers' own
+    paths: Sequence[str] = ()  # on the public listener: each path itself and all below it
+    operator_paths: Sequence[str] = ()  # on the listener for controllers and operators
 
     async def handle(self, request: Request) -> Response:
-        """Answer a request of its paths; what is left half done if the node dies is its own affair."""
+        """Answer a request for one of the paths. Recovery of work interrupted by a crash is up to the extension."""
         ...
 
     def create_listener(self, leader: "Leader") -> Listener | None:
-        """Who is told of what this node's next term decides and sees; the term has not begun to work."""
+        """A listener for this node's next term, or None. Called before the term starts working."""
         return None
 
     async def run(self) -> None:
-        """For as long as the node lives. Started again after a pause if it raises."""
+        """Run while the process lives. Restarted after PART_PAUSE_S if it raises, not if it returns."""
         ...
 
     async def run_while_leading(self, term: Term) -> None:
-        """While this node leads; cancelled when the term is over."""
+        """Run while this node leads; cancelled when the term is over. Restarted like `run`."""
         ...
 
 
 class Extensions:
+    """All extensions that are switched on, isolated from each other and from the controller."""
+
     def __init__(self, extensions: Sequence[Extension]) -> None:
-        """Raises ValueError if a part claims keys that are the core's or another part's."""
+        """Raises ValueError if two key prefixes overlap, or one overlaps with the controller's own."""
         taken = [store.WATCHED, store.FLEET]
         for extension in extensions:
             if any(extension.prefix.startswith(other) or other.startswith(extension.prefix) for other in taken):
@@ -92,7 +96,10 @@
         return [extension.name for extension in self._extensions]
 
     async def handle(self, request: Request, operators: bool = False) -> Response | None:
-        """The answer of the part that has this path on this listener; None if no part has."""
+        """The answer of the extension that serves this path on the listener (`operators`: the internal one).
+
+        None if no extension does.
+        """
         path = request.path.partition("?")[0]
         for extension in self._extensions:
             paths = extension.operator_paths if operators else extension.paths
@@ -101,13 +108,15 @@
         return None
 
     def listener(self, leader: "Leader") -> Listener:
-        """All who listen to this term, as one."""
+        """One listener for the term that stands for those of all extensions."""
         listeners: list[tuple[str, Listener]] = []
         for extension in self._extensions:
             try:
                 found = extension.create_listener(leader)
             except Exception:
-                log.exception("%s does not listen", extension.name)
+                log.exception(
+                    "extension %s failed to create its listener and gets no events in this term", extension.name
+                )
                 continue
             if found is not None:
                 listeners.append((extension.name, found))
@@ -117,7 +126,7 @@
         try:
             return await extension.handle(request)
         except Exception:
-            log.exception("%s: %s %s failed", extension.name, request.method, request.path)
+            log.exception("extension %s failed on %s %s, answered 500", extension.name, request.method, request.path)
             return Response(500, {"error": f"{extension.name} failed"})
 
     async def run(self) -> None:
@@ -131,11 +140,11 @@
                 await loop()
                 return
             except Exception:
-                log.exception("%s failed; it is started again", name)
+                log.exception("extension %s failed, restarting it after a pause", name)
             await trio.sleep(c.PART_PAUSE_S)
 
     async def run_while_leading(self, term: Term) -> None:
-        """Ends soon after the term."""
+        """Run the extensions' leader code. Returns at most TICK_S after the term is over."""
         async with trio.open_nursery() as nursery:
             for extension in self._extensions:
                 nursery.start_soon(self._run_with_restart, extension.name, partial(extension.run_while_leading, term))
@@ -145,36 +154,37 @@
 
 
 class IsolatingListener:
-    """Tells several; one that raises is logged and told nothing more in this term."""
+    """Passes each event to all listeners. One that raises is logged and gets no further events in this term."""
 
     def __init__(self, listeners: list[tuple[str, Listener]]) -> None:
         self._listeners = listeners
 
-    def _tell(self, name: str, *what: Any) -> None:
+    def _notify(self, event: str, *arguments: Any) -> None:
+        """Call the listeners' method of that name."""
         for entry in list(self._listeners):
             try:
-                getattr(entry[1], name)(*what)
+                getattr(entry[1], event)(*arguments)
             except Exception:
-                log.exception("%s listens no more in this term", entry[0])
+                log.exception("extension %s failed on an event and gets no more events in this term", entry[0])
                 self._listeners.remove(entry)
 
     def explained(self, job: Job, now: float) -> None:
-        self._tell("explained", job, now)
+        self._notify("explained", job, now)
 
     def placed(self, attempt: Attempt, now: float) -> None:
-        self._tell("placed", attempt, now)
+        self._notify("placed", attempt, now)
 
     def started(self, attempt: Attempt, now: float) -> None:
-        self._tell("started", attempt, now)
+        self._notify("started", attempt, now)
 
     def ended(self, attempt: Attempt, cause: str, now: float) -> None:
-        self._tell("ended", attempt, cause, now)
+        self._notify("ended", attempt, cause, now)
 
     def job(self, job_id: str, what: str, now: float) -> None:
-        self._tell("job", job_id, what, now)
+        self._notify("job", job_id, what, now)
 
     def machine(self, machine: Machine, what: str, why: str, now: float) -> None:
-        self._tell("machine", machine, what, why, now)
+        self._notify("machine", machine, what, why, now)
 
     def noted(self, what: str, text: str, now: float) -> None:
-        self._tell("noted", what, text, now)
+        self._notify("noted", what, text, now)
