--- a/pepperlatch/controller/admin.py
+++ b/pepperlatch/controller/admin.py
@@ -1,4 +1,4 @@
-"""What the controllers say to each other, and the administration API. On the controllers' own listener only."""
+"""The administration API: the view of the cluster, and the operators' settings. On the internal listener only."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,8 +17,8 @@
 SETTINGS, VIEW = "/admin/settings", "/admin/view"
 
 
-def _away(request: Request) -> Response:
-    """A change that was sent may still be carried out; the version tells."""
+def _unavailable(request: Request) -> Response:
+    """503 for an unreachable state service. A change that was sent may still be applied; the version shows it."""
     error = "the state service does not answer"
     if request.method != "GET":
         error += "; whether the change was made, `settings` will tell"
@@ -26,16 +26,18 @@
 
 
 class AdminApi:
+    """Serves `/admin/`. Settings are stored in the state service, so any node may change them."""
+
     def __init__(self, watched: Watched, state: StateClient, view: Callable[[], dict[str, Any]]) -> None:
         self._watched = watched
         self._state = state
         self._view = view
 
     async def handle(self, request: Request) -> Response:
-        """Answers at a deadline: an operator who looks into an outage must not wait for its end."""
+        """Answer within SUBMIT_WAIT_S: an operator who examines an outage must not wait for its end."""
         with trio.move_on_after(c.SUBMIT_WAIT_S):
             return await self._answer(request)
-        return _away(request)
+        return _unavailable(request)
 
     async def _answer(self, request: Request) -> Response:
         try:
@@ -47,30 +49,34 @@
             if request.path == SETTINGS and request.method == "PUT":
                 return await self._change(request.body)
         except (Away, Unsure):
-            return _away(request)
+            return _unavailable(request)
         return Response(404, {"error": "no such path"})
 
     def _describe(self) -> dict[str, Any]:
+        """All settings in force with default, bounds, unit and reason, and the version that a change has to name."""
         stored, version = self._watched.replica.tuning
-        now = Tuning(stored).values()
+        current = Tuning(stored).values()
         fields = {
             name: {
-                "value": now[name],
-                "default": k.default,
-                "low": k.low,
-                "high": k.high,
-                "unit": k.unit,
-                "reason": k.reason,
+                "value": current[name],
+                "default": setting.default,
+                "low": setting.low,
+                "high": setting.high,
+                "unit": setting.unit,
+                "reason": setting.reason,
             }
-            for name, k in KNOBS.items()
+            for name, setting in KNOBS.items()
         }
         return {"version": version, "settings": fields}
 
     async def _change(self, body: bytes) -> Response:
-        """`{"version": 7, "settings": {"idle_s": 60}}`; fields left out keep their value."""
+        """Change settings: `{"version": 7, "settings": {"idle_s": 60}}`. Settings left out keep their values.
+
+        400 if malformed or out of bounds, 409 if the version is not the current one.
+        """
         try:
-            wanted = orjson.loads(body)
-            version, changes = wanted["version"], wanted["settings"]
+            message = orjson.loads(body)
+            version, changes = message["version"], message["settings"]
             if isinstance(version, bool) or not isinstance(version, int) or not isinstance(changes, dict):
                 raise TypeError
         except (orjson.JSONDecodeError, KeyError, TypeError):
