--- a/pepperlatch/controller/heartbeats/__init__.py
+++ b/pepperlatch/controller/heartbeats/__init__.py
@@ -1,1 +1,1 @@
-"""Who answers a worker's heartbeat, and with which right."""
+"""Workers' heartbeats: which controller answers each, and on what authority."""
--- a/pepperlatch/controller/heartbeats/delegation.py
+++ b/pepperlatch/controller/heartbeats/delegation.py
@@ -1,7 +1,7 @@
-"""A follower's part of delegated heartbeats: what it may answer itself, until when, and what it tells the leader.
+"""The follower's side of delegated heartbeats: what it may answer itself, until when, and what it tells the leader.
 
-A heartbeat that says what the leader has taken in and settled is answered here, with no orders; all others are
-forwarded. `policy/delegation.py` is the leader's part and says how grants are numbered.
+A heartbeat that repeats what the leader has processed, and that needs no orders, is answered here; all others are
+forwarded. `policy/delegation.py` is the leader's side and says how grants are numbered.
 """
 
 import math
@@ -15,18 +15,19 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
-    """A grant: the heartbeat that it is for, and when one like it came last."""
+class _HeldGrant:
+    """A grant that this follower holds for one machine."""
 
     number: int
-    report: Report
-    came_at: float
-    answered_at: float = -math.inf
+    report: Report  # the latest of the heartbeats that it covers
+    came_at: float  # when that heartbeat came
+    answered_at: float = -math.inf  # when this follower last answered the machine itself
 
 
 class DelegatedAnswers:
-    """Grants of one follower under the token of the leader that it is in touch with.
+    """Grants that one follower holds under the token of the leader that it is in contact with.
 
+    `report_s` and `lease_s`: the workers' report interval and lease, in seconds; `began_at`: when this process began;
     `is_over`: whether this node knows a job to be done or cancelled. Times are of this node's steady clock, in seconds.
     """
 
@@ -36,26 +37,29 @@
         self._began_at = began_at
         self._is_over = is_over
         self._token = 0
-        self._until = -math.inf
-        self._floor = 0
-        self._held: dict[str, _Held] = {}
-        self._released: dict[str, float] = {}  # machines that were answered and are not held, and when last
-        self._forwarded: dict[str, Report] = {}  # the newest heartbeat of each machine that is on its way to the leader
+        self._until = -math.inf  # end of the delegation
+        self._floor = 0  # grants up to this number are not installed any more
+        self._held: dict[str, _HeldGrant] = {}  # by machine
+        self._released: dict[str, float] = {}  # by machine without a grant: when this follower last answered it
+        self._forwarded: dict[str, Report] = {}  # by machine: its newest heartbeat that is on the way to the leader
 
     # --- heartbeats -------------------------------------------------------------------------------
 
     def try_answer(self, report: Report, token: int, now: float) -> bool:
-        """Whether the answer may be given here, under the token; it counts as given then."""
+        """Whether this follower may answer the heartbeat, without orders. If True, the answer counts as given.
+
+        `token`: that of the leader as this node knows it.
+        """
         held = self._held.get(report.machine)
         if held is None or now >= self._until or not token == self._token == report.token:
             return False
-        if report.seq <= held.report.seq or not _same(report, held.report) or self._shows_job_over(report):
+        if report.seq <= held.report.seq or not _same_content(report, held.report) or self._shows_job_over(report):
             return False
         held.report, held.came_at, held.answered_at = report, now, now
         return True
 
     def _shows_job_over(self, report: Report) -> bool:
-        """A task of a job that is over wants an order, which only the leader gives."""
+        """Whether the heartbeat lists a task of a job that is over: it needs an order, which only the leader gives."""
         for task in report.tasks:
             parts = split_task(task.task)
             if parts is None or self._is_over(parts[0]):
@@ -63,12 +67,16 @@
         return False
 
     def on_forwarded(self, report: Report) -> None:
-        """The heartbeat goes to the leader: what was granted before is given up."""
+        """The heartbeat is about to be forwarded to the leader: release the machine's earlier grant."""
         self._release(report.machine)
         self._forwarded[report.machine] = report
 
     def on_answered(self, report: Report, number: int | None, token: int, now: float) -> None:
-        """The leader has answered it; `number` of its grant, None without one. A late or older one is not installed."""
+        """The leader has answered the heartbeat; `number`: of the grant, None if it gave none.
+
+        A grant is not installed if a newer heartbeat was forwarded since, nobody waits for this one, or its number is
+        not above the floor.
+        """
         if self._forwarded.get(report.machine) is not report:
             return
         del self._forwarded[report.machine]
@@ -76,10 +84,10 @@
             return
         if len(self._held) < c.DELEGATION_MOST:
             answered_at = self._released.pop(report.machine, -math.inf)
-            self._held[report.machine] = _Held(number, report, now, answered_at)
+            self._held[report.machine] = _HeldGrant(number, report, now, answered_at)
 
     def on_forward_ended(self, report: Report) -> None:
-        """No answer is waited for any more."""
+        """The answer to the heartbeat has come, or is not waited for any more."""
         if self._forwarded.get(report.machine) is report:
             del self._forwarded[report.machine]
 
@@ -88,10 +96,10 @@
         if held is not None and held.answered_at > -math.inf:
             self._released[machine] = held.answered_at
 
-    # --- the leader -------------------------------------------------------------------------------
+    # --- messages to and from the leader ----------------------------------------------------------
 
     def statement(self, token: int, now: float) -> DelegationStatement:
-        """All that is held under the token. Machines that have fallen silent are given up first."""
+        """All grants held under the token. Those of machines that have fallen silent are released first."""
         if token != self._token:
             self._begin(token)
         for machine in [name for name, held in self._held.items() if now - held.came_at > self._silent_s]:
@@ -106,7 +114,7 @@
         return DelegationStatement(self._floor, _age(self._began_at, now), self._memory_s, held, released)
 
     def _begin(self, token: int) -> None:
-        """Another leader, or none: what an earlier one granted is given up."""
+        """Start with no grants under another leader's token; those of the earlier leader are released."""
         for machine in list(self._held):
             self._release(machine)
         self._token, self._until, self._floor = token, -math.inf, 0
@@ -114,28 +122,29 @@
     def on_leader_answer(
         self, stated: DelegationStatement, answer: DelegationAnswer, token: int, sent_at: float
     ) -> None:
-        """The leader's answer to a statement that was sent then.
+        """Apply the leader's answer to a statement that was sent at `sent_at`, and extend the delegation.
 
-        Kept are the grants that it has looked at and not revoked, and those that are newer than its answer. A grant up
-        to its number that was not stated has come since: the leader may have changed its mind about it unseen.
+        Grants that the leader has examined and not revoked are kept, and those that are newer than its answer. A grant
+        up to the answer's number that was not in the statement has arrived since: the leader may have decided otherwise
+        without seeing it, so it is released.
         """
         if token != self._token:
             return
-        looked_at = {grant.machine for grant in stated.held} - set(answer.revoked)
+        confirmed = {grant.machine for grant in stated.held} - set(answer.revoked)
         for machine, held in list(self._held.items()):
-            if held.number <= answer.number and machine not in looked_at:
+            if held.number <= answer.number and machine not in confirmed:
                 self._release(machine)
         self._floor = max(self._floor, answer.number)
         self._until = max(self._until, sent_at + answer.seconds * (1 - c.CLOCK_DRIFT))
 
 
 def _age(at: float, now: float) -> float:
-    """Seconds since then; below 0 if it never was."""
+    """Seconds since `at`; -1 if it is -inf, i.e. never."""
     return round(now - at, 3) if at > -math.inf else -1.0
 
 
-def _same(one: Report, other: Report) -> bool:
-    """Whether both say the same of the machine, but for their numbers."""
+def _same_content(one: Report, other: Report) -> bool:
+    """Whether both heartbeats say the same of the machine apart from their sequence numbers, and no reclaim notice."""
     return (
         one.notice_s is None
         and other.notice_s is None
--- a/pepperlatch/controller/heartbeats/forwarding.py
+++ b/pepperlatch/controller/heartbeats/forwarding.py
@@ -1,8 +1,8 @@
-"""Workers' reports on their way to the leader, several in one request when they come faster than it answers.
+"""Forwarding of workers' reports to the leader, in batches when they come faster than it answers.
 
-Reading a request costs a leader on a third of a core more than the report in it. While few come each goes at once and
-alone; while requests are under way the others gather, so that what a slow leader has to read grows with the reports'
-bytes, and not with their number.
+Reading a request costs a leader on a third of a core more than the report in it. While few reports come, each is sent
+at once and by itself. While requests are in flight the others are queued and share the next request, so that the work
+of a slow leader grows with the reports' bytes, not with their number.
 """
 
 from collections import deque
@@ -16,13 +16,15 @@
 from pepperlatch.protocol.http.client import Lost, Network, NotSent
 
 PEER_HEARTBEAT, PEER_HEARTBEATS = "/peer/beat", "/peer/beats"
-Answer = tuple[int, Any]
+Answer = tuple[int, Any]  # status and decoded body
 
 
 @dataclass(slots=True, eq=False)
-class _Forwarded:
-    addr: str
-    plain: Any
+class _PendingReport:
+    """A report that waits to be sent, or for its answer."""
+
+    addr: str  # of the leader
+    plain: Any  # the report as decoded from JSON
     outcome: Answer | Exception | None = None
     settled: trio.Event = field(default_factory=trio.Event)
 
@@ -32,20 +34,27 @@
 
 
 class HeartbeatForwarder:
-    """`node`: this one's name. It is told with the reports: the leader then grants what may be answered here."""
+    """Queue of reports for the leader.
+
+    `node`: this controller's name. It is sent with each batch, so that the leader can grant this controller the right
+    to answer the same reports itself.
+    """
 
     def __init__(self, network: Network, node: str) -> None:
         self._network = network
         self._node = node
-        self._next_at = float("-inf")
-        self._queue: deque[_Forwarded] = deque()
-        self._flying = 0
+        self._next_at = float("-inf")  # no request is started earlier
+        self._queue: deque[_PendingReport] = deque()
+        self._in_flight = 0  # requests
         self._wake = trio.Event()
-        self._alone_until: dict[str, float] = {}  # versions that take one at a time, and until when that is believed
+        self._single_until: dict[str, float] = {}  # by address of a leader of an earlier version: no batches until then
 
     async def forward(self, addr: str, plain: Any, seconds: float) -> Answer:
-        """Status and answer, as of a request of its own. Raises NotSent or Lost; cancelled, it may be taken in."""
-        item = _Forwarded(addr, plain)
+        """Status and answer for one report, as if it had been sent by itself; waits at most `seconds`.
+
+        Raises NotSent or Lost. If cancelled or Lost, the leader may have processed the report.
+        """
+        item = _PendingReport(addr, plain)
         self._queue.append(item)
         self._wake.set()
         with trio.move_on_after(seconds):
@@ -53,27 +62,31 @@
         if isinstance(item.outcome, Exception):
             raise item.outcome
         if item.outcome is None:
-            if item in self._queue:  # its worker has no time left; nobody would read the answer
+            if item in self._queue:  # its worker has stopped waiting: nobody would read the answer
                 self._queue.remove(item)
             raise Lost(f"{addr}: no answer within {seconds:.1f} s")
         return item.outcome
 
     async def run(self) -> None:
+        """Send queued reports until cancelled, with at most FORWARD_AT_ONCE requests in flight.
+
+        After a request is started, reports gather for FORWARD_GAP_S before the queue is emptied again.
+        """
         async with trio.open_nursery() as nursery:
             while True:
                 await self._wake.wait()
                 self._wake = trio.Event()
                 await trio.sleep_until(max(self._next_at, trio.current_time()))
-                while self._queue and self._flying < c.FORWARD_AT_ONCE:
-                    self._flying += 1
+                while self._queue and self._in_flight < c.FORWARD_AT_ONCE:
+                    self._in_flight += 1
                     self._next_at = trio.current_time() + c.FORWARD_GAP_S
-                    nursery.start_soon(self._deliver, self._take())
+                    nursery.start_soon(self._deliver, self._take_batch())
 
-    def _take(self) -> list[_Forwarded]:
-        """What goes to the same leader, while it fits into a request."""
+    def _take_batch(self) -> list[_PendingReport]:
+        """Remove from the queue the next reports for one leader, as many as fit into a request."""
         batch = [self._queue.popleft()]
         addr = batch[0].addr
-        if trio.current_time() < self._alone_until.get(addr, 0.0):
+        if trio.current_time() < self._single_until.get(addr, 0.0):
             return batch
         size = len(orjson.dumps(batch[0].plain))
         while self._queue and self._queue[0].addr == addr and len(batch) < c.FORWARD_MOST:
@@ -83,23 +96,25 @@
             batch.append(self._queue.popleft())
         return batch
 
-    async def _deliver(self, batch: list[_Forwarded]) -> None:
+    async def _deliver(self, batch: list[_PendingReport]) -> None:
         try:
-            if trio.current_time() < self._alone_until.get(batch[0].addr, 0.0):
-                await self._one(batch[0])
+            if trio.current_time() < self._single_until.get(batch[0].addr, 0.0):
+                await self._send_single(batch[0])
             else:
-                await self._several(batch)
+                await self._send_batch(batch)
         finally:
-            self._flying -= 1
+            self._in_flight -= 1
             self._wake.set()
 
-    async def _one(self, item: _Forwarded) -> None:
+    async def _send_single(self, item: _PendingReport) -> None:
+        """Send one report by itself, which every version understands."""
         try:
             item.settle(await self._network.request(item.addr, "POST", PEER_HEARTBEAT, item.plain, c.RELAY_S))
         except (NotSent, Lost) as error:
             item.settle(error)
 
-    async def _several(self, batch: list[_Forwarded]) -> None:
+    async def _send_batch(self, batch: list[_PendingReport]) -> None:
+        """Send reports in one request, or singly if the answer is not that of a version that takes batches."""
         addr = batch[0].addr
         body = {"beats": [item.plain for item in batch], "node": self._node}
         try:
@@ -109,11 +124,11 @@
                 item.settle(error)
             return
         answers = answer.get("answers") if status == 200 and isinstance(answer, dict) else None
-        if not isinstance(answers, list) or len(answers) != len(batch):  # an earlier version does not know the path
-            self._alone_until[addr] = trio.current_time() + c.FORWARD_ALONE_S
+        if not isinstance(answers, list) or len(answers) != len(batch):  # an earlier version, without this path
+            self._single_until[addr] = trio.current_time() + c.FORWARD_ALONE_S
             async with trio.open_nursery() as nursery:
                 for item in batch:
-                    nursery.start_soon(self._one, item)
+                    nursery.start_soon(self._send_single, item)
             return
-        for item, one in zip(batch, answers, strict=True):
-            item.settle((200, one) if one is not None else (503, None))
+        for item, report_answer in zip(batch, answers, strict=True):
+            item.settle((200, report_answer) if report_answer is not None else (503, None))
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -1,4 +1,9 @@
-"""Workers' reports: answered by the leader, carried to it by the others, kept alive in its place in the worst case."""
+"""Workers' reports (heartbeats): how a controller answers them.
+
+The leader answers with orders. A follower answers by itself what the leader has delegated (`delegation.py`) and
+forwards the rest (`forwarding.py`). If neither the leader nor the state service can be reached, a follower renews
+workers' leases on the leader's behalf for a limited time (delegated lease renewal).
+"""
 
 import logging
 from collections.abc import Callable
@@ -32,14 +37,20 @@
 
 @dataclass(slots=True)
 class LeaderContact:
-    """The last answer from the leader: when it was asked for, under which token, and what it said of jobs."""
+    """The leader's last answer to this node's contact."""
 
-    requested_at: float = float("-inf")
-    token: int = 0
-    jobs: dict[str, list[Any]] = field(default_factory=dict)
+    requested_at: float = float("-inf")  # steady clock, in seconds
+    token: int = 0  # of the leader's term
+    jobs: dict[str, list[Any]] = field(default_factory=dict)  # rows of `Contacts._job_progress`, by job id
 
 
 class HeartbeatHandler:
+    """Answers reports in any role.
+
+    `hold_s`: seconds for which leases may be renewed on a proof of leadership; `leader` returns the node's `Leader`
+    while it leads, else None.
+    """
+
     def __init__(
         self, settings: Settings, network: Network, clock: Clock, owner: Owner, replica: Replica,
         state: StateClient, hold_s: float, leader: Callable[[], Leader | None],
@@ -59,52 +70,60 @@
         self.leader_contact = LeaderContact()
         self._began_at = clock()
         self.delegated_answers = DelegatedAnswers(
-            settings.params.workers.report_s, self._lease_s, self._began_at, self._knows_over
+            settings.params.workers.report_s, self._lease_s, self._began_at, self._is_over
         )
         self._renewal_revoked_until = float("-inf")
-        self._renewed_at: dict[str, float] = {}  # machines answered in the leader's place, and when
+        self._renewed_at: dict[str, float] = {}  # by machine: when its lease was last renewed on the leader's behalf
 
-    # --- from workers -----------------------------------------------------------------------------
+    # --- workers' reports -------------------------------------------------------------------------
 
     async def serve_heartbeat(self, body: bytes) -> Response:
-        """A worker's report. The answer comes within its patience; cancelled, the report may have been taken in."""
+        """Serve a worker's report, within HEARTBEAT_PATIENCE_S.
+
+        421 sends the worker to another controller, 503 means that nobody may answer it. If cancelled, the leader may
+        still have processed the report.
+        """
         try:
             plain = orjson.loads(body)
             report = wire.convert(plain, Report)
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
             return Response(400, {"error": str(error)})
         now = self._clock()
-        home = self.routes.home(report.machine, report.zone, now)
-        if home is not None and self.routes.send(report.machine, now):
-            return Response(421, wire.misdirected(home))
-        return await self._take(report, plain, now + c.HEARTBEAT_PATIENCE_S)
+        preferred = self.routes.home(report.machine, report.zone, now)
+        if preferred is not None and self.routes.send(report.machine, now):
+            return Response(421, wire.misdirected(preferred))
+        return await self._answer(report, plain, now + c.HEARTBEAT_PATIENCE_S)
+
+    async def _answer(self, report: Report, plain: Any, deadline: float) -> Response:
+        """Answer the report, retrying until the deadline with whoever leads by then.
 
-    async def _take(self, report: Report, plain: Any, until: float) -> Response:
-        """Whoever comes to lead meanwhile has it: a worker that is sent away with no better place to go loses time."""
+        A worker that is sent away without a better controller to go to would lose time. `plain`: the report as decoded
+        from JSON, to be forwarded as it came.
+        """
         while True:
-            held = self._replica.leader
+            known_leader = self._replica.leader
             leader = self._leader()
-            token = leader.term.token if leader is not None else held[1] if held is not None else 0
-            if self._answers_itself(report, token):
+            token = leader.term.token if leader is not None else known_leader[1] if known_leader is not None else 0
+            if self._try_delegated_answer(report, token):
                 return Response(200, wire.report_answer(report.token, []))
             if leader is not None:
                 return await self._answer_own_worker(report, token)
-            if held is not None and held[0] in self._addr:
-                answer = await self._forward(held[0], report, plain, until)
+            if known_leader is not None and known_leader[0] in self._addr:
+                answer = await self._forward(known_leader[0], report, plain, deadline)
                 if answer is not None:
                     return answer
             elif self.routes.zones[self.routes.node] != report.zone:
                 return Response(503, {"error": "nobody leads"})
-            if self._clock() + c.HEARTBEAT_RETRY_S >= until:
-                return Response(421, {}) if held is not None else Response(503, {"error": "nobody leads"})
+            if self._clock() + c.HEARTBEAT_RETRY_S >= deadline:
+                return Response(421, {}) if known_leader is not None else Response(503, {"error": "nobody leads"})
             await trio.sleep(c.HEARTBEAT_RETRY_S)
 
     async def answer_as_leader(self, report: Report) -> Response:
-        """As the leader."""
+        """As the leader: answer one report that another controller forwarded without a batch."""
         return _response((await self.answer_all_as_leader([report]))[0])
 
     async def _answer_own_worker(self, report: Report, token: int) -> Response:
-        """As the leader, for a worker that reports here: this node is one of its own followers."""
+        """As the leader: answer a worker that reports here. This node acts as one of its own followers."""
         self.delegated_answers.on_forwarded(report)
         try:
             answer = (await self.answer_all_as_leader([report], self.routes.node))[0]
@@ -115,9 +134,10 @@
             self.delegated_answers.on_forward_ended(report)
 
     async def answer_all_as_leader(self, reports: list[Report], follower: str = "") -> list[HeartbeatAnswer]:
-        """As the leader, for several that came together: an answer for each, or None.
+        """As the leader: an answer for each of the reports, None for those that nobody may answer.
 
-        `follower`: who forwarded them, if it takes delegations.
+        All are None if this node does not lead, its queue is full, or the owner takes over RELAY_S. `follower`: the
+        controller that forwarded them, if it accepts delegations, else "".
         """
         leader = self._leader()
         reply: Reply[list[HeartbeatAnswer]] = Reply()
@@ -129,14 +149,17 @@
                     return answers
         return [None] * len(reports)
 
-    async def _forward(self, leader: str, report: Report, plain: Any, until: float) -> Response | None:
-        """To the leader, so that a zone that cannot reach it lives on; None: there may be a way soon."""
-        heard = self._hears_leader()
-        if not heard and self._may_renew_lease(report):
-            return self._stand_in(report)
+    async def _forward(self, leader: str, report: Report, plain: Any, deadline: float) -> Response | None:
+        """Forward the report to the leader, so that workers in a zone that cannot reach it keep their leases.
+
+        None if there is no answer, and the caller should try again.
+        """
+        in_contact = self._in_contact()
+        if not in_contact and self._may_renew_lease(report):
+            return self._renew_lease(report)
         refused = False
         try:
-            seconds = min(c.RELAY_S, max(c.HEARTBEAT_RETRY_S, until - self._clock()))
+            seconds = min(c.RELAY_S, max(c.HEARTBEAT_RETRY_S, deadline - self._clock()))
             self.delegated_answers.on_forwarded(report)
             status, answer = await self.forwarder.forward(self._addr[leader], plain, seconds)
             if status == 200 and isinstance(answer, dict):
@@ -150,66 +173,78 @@
         finally:
             self.delegated_answers.on_forward_ended(report)
         if self._may_renew_lease(report):
-            return self._stand_in(report)
-        if refused and self._state_here() and self.routes.send(report.machine, self._clock()):
+            return self._renew_lease(report)
+        if refused and self._state_service_reachable() and self.routes.send(report.machine, self._clock()):
             return Response(421, wire.misdirected(leader))
         return None
 
-    def _answers_itself(self, report: Report, token: int) -> bool:
-        """On the leader's delegation, and only while it hears us: one that does not know who is there must be found.
+    def _try_delegated_answer(self, report: Report, token: int) -> bool:
+        """Whether this node may answer the report on the leader's delegation; the answer counts as given then.
 
-        Seen in a story: apart from its followers alone, it took the machines that these answered for a lost zone.
+        Only while the leader hears this node. Otherwise the report has to find a way to the leader: one that is cut off
+        from its followers only, not from workers, would take the machines that they answer for a lost zone.
         """
         return self.hears_leader() and self.delegated_answers.try_answer(report, token, self._clock())
 
-    def _hears_leader(self) -> bool:
-        """Whether reports may be carried to it: a try at a silent leader costs a worker most of its patience."""
+    def _in_contact(self) -> bool:
+        """Whether the leader answered a contact made within LEADER_SILENT_S.
+
+        Forwarding to a silent leader would cost a worker most of the time that it waits for an answer.
+        """
         return self._clock() - self.leader_contact.requested_at < c.LEADER_SILENT_S
 
     def hears_leader(self) -> bool:
-        """For others that ask where a worker should report."""
-        return self._leader() is not None or self._hears_leader()
+        """Whether this node leads or is in contact with the leader, so that workers should report to it."""
+        return self._leader() is not None or self._in_contact()
+
+    def _state_service_reachable(self) -> bool:
+        """Whether the state service answered within STATE_AWAY_S.
 
-    def _state_here(self) -> bool:
-        """Cut off from everything we would not know who leads; then there is no point in sending workers there."""
+        If not, this node may not know who leads now, and there is no point in sending workers to that controller.
+        """
         return self._clock() - self._state.good_at <= c.STATE_AWAY_S
 
-    def _knows_over(self, job_id: str) -> bool:
+    def _is_over(self, job_id: str) -> bool:
+        """Whether this node knows the job to be done or cancelled."""
         entry = self._replica.jobs.get(job_id)
         return entry is not None and entry.state in wire.FINAL
 
-    # --- standing in ------------------------------------------------------------------------------
+    # --- delegated lease renewal ------------------------------------------------------------------
 
     def _may_renew_lease(self, report: Report) -> bool:
-        """While neither the leader nor the state service can be reached, workers' leases are kept alive for it.
+        """Whether this node may renew the worker's lease on the leader's behalf. Asked when the leader is not reached.
 
-        For as long as the leader itself might: counted from the last proof that it leads, and from when
-        we last asked it and were answered, which is what it reckons with. Never while a promise to it
-        holds, also one that this node gave just before it ended and was back at once; never for workers that
-        another leader has commanded since.
+        Only while the state service is not reached either, and only for as long as the leader itself might renew it:
+        `hold_s` from the last proof that it leads, and from the last contact that it answered, which is what the leader
+        counts with. Not while a revocation holds, including one that this node may have acknowledged just before it
+        was restarted; and not for a worker that another leader has commanded since.
         """
-        now, held, contact = self._clock(), self._replica.leader, self.leader_contact
+        now, known_leader, contact = self._clock(), self._replica.leader, self.leader_contact
         return (
-            held is not None
-            and held[1] == contact.token == report.token
-            and not self._state_here()
+            known_leader is not None
+            and known_leader[1] == contact.token == report.token
+            and not self._state_service_reachable()
             and now > max(self._renewal_revoked_until, self._began_at + c.STAND_IN_BAR_S)
             and now < keeps_alive_until(self._hold_s, self._replica.current_at, contact.requested_at)
         )
 
-    def _stand_in(self, report: Report) -> Response:
-        """No orders but to stop what this node knows to be over."""
+    def _renew_lease(self, report: Report) -> Response:
+        """Renew the lease under the leader's token. The only orders are to kill tasks of jobs known to be over."""
         self._renewed_at[report.machine] = self._clock()
         orders = []
         for task in report.tasks:
             parts = split_task(task.task)
-            if parts and self._knows_over(parts[0]) and task.state is not wire.TaskState.EXITED:
+            if parts and self._is_over(parts[0]) and task.state is not wire.TaskState.EXITED:
                 orders.append(wire.kill(task.task, task.attempt, 0.0))
         return Response(200, wire.report_answer(report.token, orders))
 
     def revoke_renewal(self, unreached: list[str]) -> dict[str, float]:
-        """The leader is in touch: no standing in for a while. It is told for which machines we did, how long ago,
-        and how long this process has lived."""
+        """The leader is alive: renew no leases on its behalf for STAND_IN_BAR_S.
+
+        `unreached`: machines that the leader reaches only through other controllers; their reports are accepted here.
+        Returns, by machine, the seconds since its lease was last renewed here (those within two lease times), and under
+        BEGAN the age of this process in seconds.
+        """
         now = self._clock()
         self.routes.keep(unreached, now)
         self._renewal_revoked_until = now + c.STAND_IN_BAR_S
@@ -220,5 +255,5 @@
 
 
 def _response(answer: HeartbeatAnswer) -> Response:
-    """What the worker gets for the leader's answer, if there is one."""
+    """The response to the worker; 503 if the leader gave no answer."""
     return Response(503, {"error": "not entitled to answer"}) if answer is None else Response(200, answer)
