--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -259,6 +259,7 @@
                     nursery.start_soon(self._ask_hears_leader, peer)
 
     async def _ask_hears_leader(self, peer: Peer) -> None:
+        """Record whether the peer hears the leader; one that does not answer counts as not hearing it."""
         health = await self._peer_health(peer)
         self.heartbeats.routes.heard(peer.node, health is not None and bool(health.get("leader")), self._clock())
 
@@ -290,13 +291,13 @@
 
     def view(self) -> dict[str, Any]:
         """The administration view: who leads and, if it is this node, machines, jobs, drains and teams."""
-        held = self.replica.leader
+        known_leader = self.replica.leader
         answer: dict[str, Any] = {
             "node": self.settings.node,
             "version": __version__,
             "parts": self.extensions.names(),
-            "leader": held[0] if held else None,
-            "token": held[1] if held else None,
+            "leader": known_leader[0] if known_leader else None,
+            "token": known_leader[1] if known_leader else None,
         }
         if self.leader is None:
             return answer
--- a/pepperlatch/controller/extensions.py
+++ b/pepperlatch/controller/extensions.py
@@ -130,6 +130,7 @@
             return Response(500, {"error": f"{extension.name} failed"})
 
     async def run(self) -> None:
+        """Run the extensions' loops until cancelled."""
         async with trio.open_nursery() as nursery:
             for extension in self._extensions:
                 nursery.start_soon(self._run_with_restart, extension.name, extension.run)
