--- a/pepperlatch/console/metrics.py
+++ b/pepperlatch/console/metrics.py
@@ -52,12 +52,12 @@
         yield _gauge("pepperlatch_jobs", "Unfinished jobs by stated reason", ("reason", "priority"), jobs)
         yield _gauge("pepperlatch_tasks_waiting", "Tasks without a place, by reason", ("reason",), tasks)
         machines: Counter[tuple[str, ...]] = Counter()
-        for row in machine_totals(cluster.machines.values(), cluster.unaccounted):
+        for row in machine_totals(cluster.machines.values(), cluster.unverified):
             machines[(row["type"], row["zone"], "spot" if row["spot"] else "ordinary", row["state"])] += row["count"]
         yield _gauge("pepperlatch_machines", "Machines", ("type", "zone", "kind", "state"), machines)
         now = leader.clock()
-        departed_since = cluster.departed_since(now)
-        since = (cluster.cancelled_since(machine, departed_since) for machine in cluster.machines.values())
+        unverified_cancelled_since = cluster.unverified_cancelled_since(now)
+        since = (cluster.cancelled_since(machine, unverified_cancelled_since) for machine in cluster.machines.values())
         ages = [now - moment for moment in since if math.isfinite(moment)]
         text = "Machines that may hold a task of a cancelled job, as far as reports have shown"
         yield _gauge("pepperlatch_machines_owing", text, (), {(): len(ages)})
--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -213,8 +213,8 @@
             **self.totals(),
             "waits_for_others": leader.replica.waiting_for_others(),
             "teams": [self._team(team.name) for team in leader.settings.params.teams],
-            "machines": machine_totals(cluster.machines.values(), cluster.unaccounted),
-            "rebuilding": len(cluster.unaccounted),
+            "machines": machine_totals(cluster.machines.values(), cluster.unverified),
+            "rebuilding": len(cluster.unverified),
             "drains": {"begun": planner.drains_begun, "cancelled": planner.drains_cancelled},
             "dark_zones": sorted(planner.dark),
             "refused_offers": [
@@ -231,7 +231,7 @@
 
     def _team(self, name: str) -> dict[str, Any]:
         quota = self.leader.cluster.quota
-        unseen = quota.hidden.get(name)
+        unseen = quota.unverified.get(name)
         return {**quota.shown(name), "cpus_unseen": unseen.cpus if unseen else 0.0}
 
     def machines(self) -> list[dict[str, Any]]:
@@ -243,7 +243,7 @@
                 "tasks": len(m.attempts), "used_share": round(m.used_share(), 3),
                 "silent_s": round(now - m.seen_at, 1) if m.seen_at >= 0 else None, "images": len(m.images),
             }
-            for m in cluster.machines.values() for state, why in [machine_state(m, m.name in cluster.unaccounted)]
+            for m in cluster.machines.values() for state, why in [machine_state(m, m.name in cluster.unverified)]
         ]  # fmt: skip
 
 
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -60,7 +60,7 @@
         """
         while not self._duty.term.over:
             async with self._fencing:
-                if machine.name not in self._duty.cluster.unaccounted or self._duty.term.over:
+                if machine.name not in self._duty.cluster.unverified or self._duty.term.over:
                     return
                 with contextlib.suppress(NotSent, Lost):
                     executed, report = await self._show_token(machine, max(1, machine.session))
@@ -95,7 +95,7 @@
         cluster, planner = self._duty.cluster, self._duty.planner
         quiet = self._quiet(now)
         self._look_at_zones(quiet, now)
-        silent = [m for m in quiet if m.seen_at >= 0 or m.fence_failed or m.name not in cluster.unaccounted]
+        silent = [m for m in quiet if m.seen_at >= 0 or m.fence_failed or m.name not in cluster.unverified]
         if silent:
             self._reached = cluster.last_heard()
         for machine in self._worth_asking(silent):
@@ -148,7 +148,7 @@
         zones, out = self._duty.planner.zones, []
         cut: dict[str, list[Machine]] = {}
         for machine in silent:
-            if zones.cut(machine.zone) and machine.name not in self._duty.cluster.unaccounted:
+            if zones.cut(machine.zone) and machine.name not in self._duty.cluster.unverified:
                 cut.setdefault(machine.zone, []).append(machine)
             else:
                 out.append(machine)
@@ -167,7 +167,7 @@
         for machine in cluster.machines.values():
             if machine.status is not Status.UP or now - machine.seen_at <= least_s:
                 continue
-            fenced = machine.seen_at < 0 and machine.name in cluster.unaccounted
+            fenced = machine.seen_at < 0 and machine.name in cluster.unverified
             patience_s = c.FENCE_SILENT_S if fenced else c.SILENT_REPORTS * report_s
             if now - max(machine.seen_at, cluster.started) > patience_s:
                 out.append(machine)
@@ -192,10 +192,10 @@
         """
         cluster, workers = self._duty.cluster, self._duty.settings.params.workers
         seen = Seen(cluster.started, sure, self._heard_at(), kept_zones)
-        departed_since = cluster.departed_since(now)
+        unverified_cancelled_since = cluster.unverified_cancelled_since(now)
         leaving = [cluster.machines[name] for name in cluster.to_release if name in cluster.machines]
         for machine in [*quiet, *leaving]:
-            since = cluster.cancelled_since(machine, departed_since)
+            since = cluster.cancelled_since(machine, unverified_cancelled_since)
             decision = decide(machine, since, seen, workers, now)
             self._log_kept(machine, since, decision, now)
             if decision is Decision.RETURN:
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -137,7 +137,7 @@
         for job_id in self.replica.cancelled_lately(now - self.settings.params.workers.cancel_s):
             spec = self.replica.jobs[job_id].record.spec
             if spec is not None:
-                cluster.depart(spec, spec.tasks - len(self.replica.done_tasks(job_id)), now)
+                cluster.add_unverified_cancellation(spec, spec.tasks - len(self.replica.done_tasks(job_id)), now)
         cluster.remember()
         for pair in pairs:
             if pair.key.startswith(store.HIRE):
@@ -151,14 +151,14 @@
         kind = self.cluster.types.get(record.type)
         if kind is None:
             log.error("machine %s is of unknown type %s: returned", name, record.type)
-            self.cluster.unaccounted.add(name)  # it may run tasks until it is gone
+            self.cluster.unverified.add(name)  # it may run tasks until it is gone
             self.cluster.to_release.add(name)
             return
         machine = Machine(name, kind, record.zone, record.spot, record.addr, Status.UP, now, draining=record.draining)
         machine.up_at = machine.idle_since = machine.beat_at = now
         machine.listed = True
         self.cluster.machines[name] = machine
-        self.cluster.unaccounted.add(name)
+        self.cluster.unverified.add(name)
         self._duty.spawn(self._health.fence, machine)
 
     # --- jobs -------------------------------------------------------------------------------------
@@ -355,7 +355,7 @@
     def _send_direct(self, now: float) -> None:
         touched, self.cluster.touched = self.cluster.touched, set()
         for machine in sorted(touched, key=lambda m: m.name):  # the same inputs give the same commands
-            if machine.status is not Status.UP or machine.name in self.cluster.unaccounted:
+            if machine.status is not Status.UP or machine.name in self.cluster.unverified:
                 continue
             if machine.sending or now < machine.send_after:
                 self.cluster.touched.add(machine)
--- a/pepperlatch/policy/cancelled_tasks.py
+++ b/pepperlatch/policy/cancelled_tasks.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Departed:
+class UnverifiedCancellation:
     """A job that was cancelled while some of its tasks may still be on machines that are not accounted for."""
 
     spec: JobSpec
@@ -30,7 +30,7 @@
     def __init__(self, cancelled_since: CancelledSince, cancel_s: float) -> None:
         self._cancelled_since = cancelled_since
         self._cancel_s = cancel_s
-        self.departed: dict[str, Departed] = {}
+        self.unverified: dict[str, UnverifiedCancellation] = {}
 
     def may_hold(self, machine: Machine, task: str, job_id: str, now: float) -> None:
         """The machine may hold this task of a cancelled job."""
@@ -51,20 +51,20 @@
         machine.cancelled_since = math.inf
         machine.kept_because = ""
 
-    def depart(self, spec: JobSpec, unseen: int, now: float) -> None:
+    def add_unverified_cancellation(self, spec: JobSpec, unseen: int, now: float) -> None:
         """The job was cancelled; so many of its tasks may yet be on machines that nobody can ask."""
-        self.departed[spec.id] = Departed(spec, unseen, min(now, self._cancelled_since(spec.id)))
+        self.unverified[spec.id] = UnverifiedCancellation(spec, unseen, min(now, self._cancelled_since(spec.id)))
 
     def seen(self, job_id: str) -> None:
         """A machine has shown one of its tasks."""
-        gone = self.departed.get(job_id)
+        gone = self.unverified.get(job_id)
         if gone is not None:
             gone.unseen = max(0, gone.unseen - 1)
 
-    def departed_since(self, now: float) -> float:
+    def unverified_cancelled_since(self, now: float) -> float:
         """When the first of these jobs may have been cancelled; infinite if there is none.
 
         What was cancelled longer ago than `cancel_s` is not looked for.
         """
-        lately = (gone.since for gone in self.departed.values() if now - gone.since <= self._cancel_s)
+        lately = (gone.since for gone in self.unverified.values() if now - gone.since <= self._cancel_s)
         return min(lately, default=math.inf)
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -64,9 +64,9 @@
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
         self.gone: dict[str, None] = {}
-        self.strays: dict[str, dict[Key, TaskReport]] = {}
+        self.unknown_tasks: dict[str, dict[Key, TaskReport]] = {}
         self.quota = Quota({team.name: team for team in params.teams})
-        self.unaccounted: set[str] = set()
+        self.unverified: set[str] = set()
         self.cancelled = CancelledTasks(lambda job_id: self._cancelled_since(job_id), params.workers.cancel_s)
         self.touched: set[Machine] = set()
         self.unsaved: set[str] = set()
@@ -103,7 +103,7 @@
         if job is None:
             return
         if job.old and not job.over and not done:
-            self.depart(job.spec, job.spec.tasks - len(job.done) - len(job.live), now)
+            self.add_unverified_cancellation(job.spec, job.spec.tasks - len(job.done) - len(job.live), now)
         job.over = True
         if not done:
             self._stray_cancelled(job_id, now)
@@ -122,7 +122,7 @@
 
     def _stray_cancelled(self, job_id: str, now: float) -> None:
         """A task that one machine shows though another runs it has to go with its job as well."""
-        for name, tasks in self.strays.items():
+        for name, tasks in self.unknown_tasks.items():
             machine = self.machines.get(name)
             for task, _ in tasks:
                 if machine is not None and task.rpartition("/")[0] == job_id:
@@ -135,29 +135,29 @@
 
     def _holds_cancelled(self, machine: Machine) -> bool:
         """Whether a task of a job that is over may be there, as far as reports have shown."""
-        strays = (task.rpartition("/")[0] for task, _ in self.strays.get(machine.name, {}))
+        unknown_tasks = (task.rpartition("/")[0] for task, _ in self.unknown_tasks.get(machine.name, {}))
         return any(attempt.job.over for attempt in machine.attempts.values()) or any(
             job.over if (job := self.jobs.get(job_id)) is not None else self._spec_of(job_id) is not None
-            for job_id in strays
+            for job_id in unknown_tasks
         )
 
-    def depart(self, spec: JobSpec, unseen: int, now: float) -> None:
+    def add_unverified_cancellation(self, spec: JobSpec, unseen: int, now: float) -> None:
         """The job was cancelled; so many of its tasks may yet be on machines that nobody can ask."""
         if unseen > 0 and self.rebuilding():
-            self.cancelled.depart(spec, unseen, now)
+            self.cancelled.add_unverified_cancellation(spec, unseen, now)
 
-    def departed_since(self, now: float) -> float:
+    def unverified_cancelled_since(self, now: float) -> float:
         """Since when a job may have been cancelled that may have tasks on unaccounted machines; infinite: none was."""
-        return self.cancelled.departed_since(now) if self.rebuilding() else math.inf
+        return self.cancelled.unverified_cancelled_since(now) if self.rebuilding() else math.inf
 
-    def cancelled_since(self, machine: Machine, departed_since: float) -> float:
+    def cancelled_since(self, machine: Machine, unverified_cancelled_since: float) -> float:
         """Since when the machine may hold a task of a cancelled job; infinite if it holds none.
 
         One that has not shown our token may hold more than its reports have shown, which may have been under way for
         long: any task of a job that was cancelled lately.
         """
-        unaccounted = machine.name in self.unaccounted
-        return min(machine.cancelled_since, departed_since) if unaccounted else machine.cancelled_since
+        unaccounted = machine.name in self.unverified
+        return min(machine.cancelled_since, unverified_cancelled_since) if unaccounted else machine.cancelled_since
 
     def last_heard(self) -> list[str]:
         """Machines that others should reach if they reach any: asked too by one that does not reach a silent one."""
@@ -166,8 +166,8 @@
 
     def cancelled_on(self, now: float) -> list[CancelledOn]:
         """The machines that may hold a task of a cancelled job; those that were not heard of for longest first."""
-        departed_since = self.departed_since(now)
-        found = [(m, self.cancelled_since(m, departed_since)) for m in self.machines.values() if m.addr]
+        unverified_cancelled_since = self.unverified_cancelled_since(now)
+        found = [(m, self.cancelled_since(m, unverified_cancelled_since)) for m in self.machines.values() if m.addr]
         found = [(machine, since) for machine, since in found if math.isfinite(since)]
         found.sort(key=lambda row: (row[0].seen_at, row[0].name))
         return [CancelledOn(m.name, m.addr, now - since) for m, since in found[: c.CANCELLED_TOLD_MOST]]
@@ -248,7 +248,7 @@
         Seen after a takeover: a late report of a session that is over came before that of the machine on which the
         task had been started anew since. What runs there is kept; to start it once more would run it twice.
         """
-        for name, tasks in self.strays.items():
+        for name, tasks in self.unknown_tasks.items():
             machine = self.machines.get(name)
             for key, task in list(tasks.items()):
                 if key[0] == attempt.name and machine is not None:
@@ -378,10 +378,10 @@
             self.to_record.add(machine)
 
     def _accounted(self, name: str, now: float) -> None:
-        if name in self.unaccounted:
-            self.unaccounted.discard(name)
+        if name in self.unverified:
+            self.unverified.discard(name)
             self.dirty = True
-            if not self.unaccounted:
+            if not self.unverified:
                 took = f"all machines accounted for, {now - self.started:.1f} s after taking over"
                 log.info("%s", took)
                 self.listener.noted("takeover", took, now)
@@ -402,7 +402,7 @@
         shown = {(t.task, t.attempt): t for t in report.tasks}
         machine.ended = {key: t for key, t in shown.items() if t.state is TaskState.EXITED}
         machine.unreaped = {key: until for key, until in machine.unreaped.items() if key in machine.ended}
-        strays = {}
+        unknown_tasks = {}
         for key, task in shown.items():
             attempt = machine.attempts.get(key)
             if task.state is TaskState.EXITED:
@@ -410,12 +410,12 @@
             elif attempt is not None or (attempt := self._adopt(machine, task, now)) is not None:
                 self._progress(attempt, task.state, now)
             else:
-                strays[key] = task
+                unknown_tasks[key] = task
                 self._may_hold_stray(machine, key[0], now)
-        if strays:
-            self.strays[machine.name] = strays
+        if unknown_tasks:
+            self.unknown_tasks[machine.name] = unknown_tasks
         else:
-            self.strays.pop(machine.name, None)
+            self.unknown_tasks.pop(machine.name, None)
         for key, attempt in list(machine.attempts.items()):
             if key not in shown:
                 self._absent(machine, key, attempt, report.seq, beat, now)
@@ -558,7 +558,7 @@
         """A new session, or the machine itself is gone: nothing of the old one runs or can still start."""
         machine.sticky.clear()
         machine.ended.clear()
-        self.strays.pop(machine.name, None)
+        self.unknown_tasks.pop(machine.name, None)
         for attempt in list(machine.attempts.values()):
             self._lose(attempt, now, why)
 
@@ -596,7 +596,7 @@
         """
         lease_s = self.params.workers.lease_s * (1 + c.CLOCK_DRIFT) + c.LEASE_MARGIN_S
         last = max(machine.answered_at, self.delegations.answered_until(machine.name))
-        if machine.name not in self.unaccounted:
+        if machine.name not in self.unverified:
             last = max(last, machine.began_by)
         if not machine.fenced:
             last = max(last, self.blind_until + c.LEASE_MARGIN_S - lease_s)
@@ -613,8 +613,8 @@
         return (
             machine.status is Status.UP
             and machine.fenced
-            and machine.name not in self.unaccounted
-            and machine.name not in self.strays
+            and machine.name not in self.unverified
+            and machine.name not in self.unknown_tasks
             and not machine.ended
             and not machine.unheard
             and machine.offered is None
@@ -672,7 +672,7 @@
 
     def expire(self, now: float) -> None:
         for machine in list(self.machines.values()):
-            holds = machine.attempts or machine.name in self.unaccounted
+            holds = machine.attempts or machine.name in self.unverified
             if holds and machine.status in (Status.UP, Status.LEAVING) and self.lease_over(machine, now):
                 log.info("the lease of %s is over", machine.name, extra={"machine": machine.name})
                 machine.over_session = machine.session  # what was sent into it can never be carried out
@@ -693,7 +693,7 @@
             if absent and more:
                 offered.add(key)
         machine.offered = (machine.seq, frozenset(offered)) if offered else None
-        for name, number in self.strays.get(machine.name, {}):
+        for name, number in self.unknown_tasks.get(machine.name, {}):
             orders.append(wire.kill(name, number, 0.0))
         if sure:
             orders += [
@@ -762,9 +762,9 @@
     # --- after taking over ------------------------------------------------------------------------
 
     def rebuilding(self) -> bool:
-        return bool(self.unaccounted)
+        return bool(self.unverified)
 
-    def count_hidden(self) -> None:
+    def count_unverified_usage(self) -> None:
         """While machines are unaccounted for, unseen older tasks may be running: they use their limits.
 
         Those of jobs that were cancelled as well, and no more than these machines hold. So does what a machine shows
@@ -776,20 +776,20 @@
                 if job.old and not job.over:
                     unseen = job.spec.tasks - len(job.done) - len(job.live)
                     hidden.setdefault(job.spec.team, Use()).add(job.spec, unseen)
-            for gone in self.cancelled.departed.values():
+            for gone in self.cancelled.unverified.values():
                 hidden.setdefault(gone.spec.team, Use()).add(gone.spec, gone.unseen)
             self._cap(hidden)
         else:
-            self.cancelled.departed.clear()
-        for tasks in self.strays.values():  # none that has exited is among them
+            self.cancelled.unverified.clear()
+        for tasks in self.unknown_tasks.values():  # none that has exited is among them
             for name, _ in tasks:
                 if (spec := self._spec(name)) is not None:
                     hidden.setdefault(spec.team, Use()).add(spec, 1)
-        self.quota.hidden = hidden
+        self.quota.unverified = hidden
 
     def _cap(self, hidden: dict[str, Use]) -> None:
         """A worker refuses what it has no room for: so no more is hidden than its machine holds."""
-        machines = [self.machines.get(name) for name in self.unaccounted]
+        machines = [self.machines.get(name) for name in self.unverified]
         known = [machine for machine in machines if machine is not None]
         if len(known) < len(machines):
             return  # of an unknown type
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -61,7 +61,7 @@
         return c.FRESH_REPORTS * self.cluster.params.workers.report_s
 
     def usable(self, now: float) -> list[Machine]:
-        unaccounted = self.cluster.unaccounted
+        unaccounted = self.cluster.unverified
         return [
             m for m in self.cluster.machines.values()
             if m.name not in unaccounted and placement.usable(m, now, self.fresh_s())
@@ -94,7 +94,7 @@
     def place_all(self, now: float) -> None:
         """Start what can start; `needs` keeps what found no room."""
         cluster = self.cluster
-        cluster.count_hidden()
+        cluster.count_unverified_usage()
         rebuilding = cluster.rebuilding()
         machines = self.usable(now)
         cheapest = self._cheapest(self.spare.spec) if self.spare.spec else float("inf")
@@ -105,7 +105,7 @@
         self.limits = {}
         self.kept = {}
         self.work = 0.0
-        rebuilt = Reason(Why.REBUILDING, machines=len(cluster.unaccounted), among=len(cluster.machines))
+        rebuilt = Reason(Why.REBUILDING, machines=len(cluster.unverified), among=len(cluster.machines))
         order = self.ordered(now)
         every, machines = machines, placement.roomy(machines, (j.spec for j in order))
         before, self.needs = self.needs, []
--- a/pepperlatch/policy/quota.py
+++ b/pepperlatch/policy/quota.py
@@ -29,7 +29,7 @@
 
     teams: dict[str, Team]
     used: dict[str, Use] = field(default_factory=dict)
-    hidden: dict[str, Use] = field(default_factory=dict)  # what unseen machines may be running
+    unverified: dict[str, Use] = field(default_factory=dict)  # what unseen machines may be running
 
     def of(self, team: str) -> Use:
         return self.used.setdefault(team, Use())
@@ -39,7 +39,7 @@
         team = self.teams.get(spec.team)
         if team is None:
             return 0
-        used, hidden, kept = self.of(spec.team), self.hidden.get(spec.team, Use()), kept or Use()
+        used, hidden, kept = self.of(spec.team), self.unverified.get(spec.team, Use()), kept or Use()
         rooms = [
             int((most - now + EPS) // each)
             for each, most, now in (
@@ -61,7 +61,7 @@
 
     def at_limit(self, spec: JobSpec) -> Reason:
         """The limit that leaves no room for another task of the job, with what counts against it."""
-        team, used, hidden = self.teams.get(spec.team), self.of(spec.team), self.hidden.get(spec.team, Use())
+        team, used, hidden = self.teams.get(spec.team), self.of(spec.team), self.unverified.get(spec.team, Use())
         if team is None:
             return Reason(Why.LIMIT, team=spec.team, unit="CPUs")
         if spec.gpus > 0 and 0 < team.gpus_max < used.gpus + hidden.gpus + spec.gpus - EPS:
--- a/tests/acceptance/test_back_at_once.py
+++ b/tests/acceptance/test_back_at_once.py
@@ -51,7 +51,7 @@
     await world.bounce(old, back)
     await world.until(lambda: any(n.leader and n.leader.ready for n in world.nodes.values()), 20)
     await trio.sleep(0.3)
-    assert hidden.name in world.nodes[world.leader()].leader.cluster.unaccounted  # type: ignore[union-attr]
+    assert hidden.name in world.nodes[world.leader()].leader.cluster.unverified  # type: ignore[union-attr]
     await world.bounce(world.leader(), back)
     await trio.sleep(5)
     await world.heal()
--- a/tests/cuts/test_sessions.py
+++ b/tests/cuts/test_sessions.py
@@ -26,7 +26,7 @@
     cluster = Cluster("n", TOKEN, settings_of(0).params, 0.0, HOLD_S, lambda job_id: None)
     cluster.types = {m.type.name: m.type for m in machines}
     cluster.machines = {m.name: m for m in machines}
-    cluster.unaccounted = set(cluster.machines)
+    cluster.unverified = set(cluster.machines)
     return cluster
 
 
@@ -121,7 +121,7 @@
     cluster = cluster_of(one)
     cluster.on_report(report(1, 5, TOKEN - 1), 0.5, beat=False)
     cluster.on_report(report(1, 6), 9.0, beat=False)
-    assert not cluster.unaccounted
+    assert not cluster.unverified
     assert not cluster.lease_over(one, 8.9 + LEASE_S), "the earlier leader may have answered it just before"
     assert cluster.lease_over(one, 9.1 + LEASE_S + SLACK_S)
 
@@ -133,7 +133,7 @@
     cluster.on_report(report(1, 5, TOKEN - 1), 0.5, beat=True)
     one.answered_at = BLIND_S - 1
     cluster.expire(BLIND_S + 1)
-    assert cluster.unaccounted, "our own answer may have reached it"
+    assert cluster.unverified, "our own answer may have reached it"
     met = machine("n-2")
     cluster.machines["n-2"] = met
     cluster.on_report(report(1, 1, 0, perch="n-2"), 2.0, beat=True)
--- a/tests/meetings/test_limits.py
+++ b/tests/meetings/test_limits.py
@@ -125,14 +125,14 @@
 def test_no_more_is_hidden_than_the_unaccounted_machines_hold() -> None:
     cluster = cluster_of(machine("n-1"), machine("n-2"))
     cluster.add_job(spec_of(1, pieces=50, cores=2.0), 3, 0.0, set())
-    cluster.count_hidden()
-    assert cluster.quota.hidden["red"].cpus == 16.0
+    cluster.count_unverified_usage()
+    assert cluster.quota.unverified["red"].cpus == 16.0
     cluster.on_report(report(1, 1), 1.0, beat=True)
-    cluster.count_hidden()
-    assert cluster.quota.hidden["red"].cpus == 8.0
-    cluster.unaccounted.add("of a type that nobody knows")
-    cluster.count_hidden()
-    assert cluster.quota.hidden["red"].cpus == 100.0
+    cluster.count_unverified_usage()
+    assert cluster.quota.unverified["red"].cpus == 8.0
+    cluster.unverified.add("of a type that nobody knows")
+    cluster.count_unverified_usage()
+    assert cluster.quota.unverified["red"].cpus == 100.0
 
 
 def test_what_a_machine_shows_though_another_runs_it_counts_as_well() -> None:
@@ -141,11 +141,11 @@
     for name in ("n-2", "n-1"):
         shown = [{"piece": "run-000001/0", "try": 41 if name == "n-1" else 42, "status": "running"}]
         cluster.on_report(report(1, 1, perch=name, pieces=shown), 1.0, beat=True)
-    cluster.count_hidden()
-    assert (cluster.quota.of("red").cpus, cluster.quota.hidden) == (4.0, {"red": Use(4.0, 0.0)})
+    cluster.count_unverified_usage()
+    assert (cluster.quota.of("red").cpus, cluster.quota.unverified) == (4.0, {"red": Use(4.0, 0.0)})
     cluster.on_report(report(1, 2), 2.0, beat=True)
-    cluster.count_hidden()
-    assert cluster.quota.hidden == {}
+    cluster.count_unverified_usage()
+    assert cluster.quota.unverified == {}
 
 
 def test_a_cancelled_job_counts_until_its_tasks_are_seen_or_all_machines_are() -> None:
@@ -153,14 +153,14 @@
     cluster = Cluster("n", TOKEN, settings_of(0).params, 0.0, HOLD_S, lambda job_id: spec)
     for name in ("n-1", "n-2"):
         cluster.machines[name] = machine(name)
-        cluster.unaccounted.add(name)
-    cluster.depart(spec, 3, 0.0)
-    cluster.count_hidden()
-    assert cluster.quota.hidden["red"].cpus == 6.0
+        cluster.unverified.add(name)
+    cluster.add_unverified_cancellation(spec, 3, 0.0)
+    cluster.count_unverified_usage()
+    assert cluster.quota.unverified["red"].cpus == 6.0
     shown = [{"piece": "run-000001/1", "try": 41, "status": "running"}]
     cluster.on_report(report(1, 1, pieces=shown), 1.0, beat=True)
-    cluster.count_hidden()
-    assert (cluster.quota.of("red").cpus, cluster.quota.hidden["red"].cpus) == (2.0, 4.0)
+    cluster.count_unverified_usage()
+    assert (cluster.quota.of("red").cpus, cluster.quota.unverified["red"].cpus) == (2.0, 4.0)
     cluster.on_report(report(1, 1, perch="n-2"), 2.0, beat=True)
-    cluster.count_hidden()
-    assert cluster.quota.hidden == {}
+    cluster.count_unverified_usage()
+    assert cluster.quota.unverified == {}
--- a/tests/meetings/test_other_meetings.py
+++ b/tests/meetings/test_other_meetings.py
@@ -50,14 +50,14 @@
     while at < BLIND_S + 4:
         cluster.on_report(report(1, 10 + int(at), TOKEN - 1), at, beat=True)
         cluster.expire(at)
-        assert (at > BLIND_S) == ("n-1" not in cluster.unaccounted), at
+        assert (at > BLIND_S) == ("n-1" not in cluster.unverified), at
         one.answered_at = at
         at += 2.0
     cluster = cluster_of(two := machine("n-1"))
     two.answered_at = BLIND_S
     cluster.on_report(report(1, 5, TOKEN - 1), BLIND_S + 1, beat=False)
     cluster.expire(BLIND_S + 2)
-    assert cluster.unaccounted, "an answer to a question does not show that no answer to a report is on its way"
+    assert cluster.unverified, "an answer to a question does not show that no answer to a report is on its way"
 
 
 def test_a_machine_that_hears_nothing_draws_no_more_tasks_until_it_does() -> None:
--- a/tests/meetings/test_returns_of_hung_machines.py
+++ b/tests/meetings/test_returns_of_hung_machines.py
@@ -89,12 +89,14 @@
 def test_a_late_report_from_before_the_launch_does_not_say_that_nothing_is_there() -> None:
     one = machine("n-1")
     cluster = cluster_with({"run-000001": 27.5}, one)
-    cluster.depart(spec_of(1, pieces=1), 1, 30.0)
+    cluster.add_unverified_cancellation(spec_of(1, pieces=1), 1, 30.0)
     cluster.on_report(report(1, 5, TOKEN - 1), 38.5, beat=True)
-    assert cluster.cancelled_since(one, cluster.departed_since(39.0)) == 27.5
-    assert math.isinf(cluster.departed_since(27.5 + CANCEL_S + 0.1)), "what was cancelled so long ago is not looked for"
+    assert cluster.cancelled_since(one, cluster.unverified_cancelled_since(39.0)) == 27.5
+    assert math.isinf(cluster.unverified_cancelled_since(27.5 + CANCEL_S + 0.1)), (
+        "what was cancelled so long ago is not looked for"
+    )
     cluster.on_report(report(1, 6), 40.0, beat=True)
-    assert math.isinf(cluster.cancelled_since(one, cluster.departed_since(41.0))), "it has shown our token"
+    assert math.isinf(cluster.cancelled_since(one, cluster.unverified_cancelled_since(41.0))), "it has shown our token"
 
 
 @pytest.mark.parametrize("first", [True, False])
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -51,7 +51,7 @@
 
 def planner_of(jobs: list[dict[str, Any]], machines: int, work_most: float) -> Planner:
     cluster = cluster_of(*(machine(f"n-{number:03d}", ZONES[number % 3]) for number in range(machines)))
-    cluster.unaccounted = set()
+    cluster.unverified = set()
     for one in cluster.machines.values():
         one.session = 1
     for one in jobs:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -311,7 +311,7 @@
         world.send = counted  # type: ignore[method-assign]
         world.kill(world.leader())
         await world.until(
-            lambda: any(n.leader and n.leader.ready and not n.leader.cluster.unaccounted for n in world.nodes.values()),
+            lambda: any(n.leader and n.leader.ready and not n.leader.cluster.unverified for n in world.nodes.values()),
             6,
         )
         assert 0 < most <= c.FENCE_AT_ONCE
@@ -337,7 +337,7 @@
         world.kill(old)
         await world.until(lambda: next_leader in world.nodes and world.nodes[next_leader].leader is not None, 6)
         leader = world.nodes[next_leader].leader
-        await world.until(lambda: leader is not None and leader.ready and not leader.cluster.unaccounted, 2)
+        await world.until(lambda: leader is not None and leader.ready and not leader.cluster.unverified, 2)
         assert leader is not None and far in leader.cluster.relayed(trio.current_time())
 
     story(tell)
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -169,7 +169,7 @@
     cluster, begun = planner.cluster, list[Any]()
     for one in cluster.machines.values():
         one.seen_at = -1.0
-        cluster.unaccounted.add(one.name)
+        cluster.unverified.add(one.name)
     cluster.machines["n-0"].fence_failed = True
     duty: Any = SimpleNamespace(
         cluster=cluster, planner=planner, settings=settings_of(0), spawn=lambda task, one: begun.append(one.name)
