--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -241,7 +241,8 @@
             {
                 "name": m.name, "type": m.type.name, "zone": m.zone, "spot": m.spot, "state": state, "why": why,
                 "tasks": len(m.attempts), "used_share": round(m.used_share(), 3),
-                "silent_s": round(now - m.seen_at, 1) if m.seen_at >= 0 else None, "images": len(m.images),
+                "silent_s": round(now - m.last_report_at, 1) if m.last_report_at >= 0 else None,
+                "images": len(m.images),
             }
             for m in cluster.machines.values() for state, why in [machine_state(m, m.name in cluster.unverified)]
         ]  # fmt: skip
@@ -319,11 +320,11 @@
         return "unaccounted", "not heard of since the takeover"
     if machine.quarantined:
         return "quarantined", "two different tasks failed there in a row"
-    if machine.notice_at is not None:
+    if machine.reclaim_at is not None:
         return "noticed", "the cloud takes it back"
     if machine.draining is not None:
         return "draining", machine.draining
-    if machine.probes or machine.probes_unheard:
+    if machine.probes or machine.isolated_probes:
         return "silent", "does not answer; others are asked"
     return ("busy" if machine.attempts else "idle"), ""
 
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -158,7 +158,7 @@
     def _alone(self, leader: Leader) -> bool:
         """Reports must come in, directly or passed on."""
         machines = [m for m in leader.cluster.machines.values() if m.status is Status.UP]
-        since = max([leader.cluster.started, self._peer_answered_at, *(m.seen_at for m in machines)])
+        since = max([leader.cluster.started, self._peer_answered_at, *(m.last_report_at for m in machines)])
         return bool(machines) and self._clock() - since > c.HANDOVER_REPORTS * self._settings.params.workers.report_s
 
     async def _contact_leader(self, peer: Peer, token: int) -> None:
@@ -196,7 +196,7 @@
         now, cluster = self._clock(), leader.cluster
         return PeerMessage(
             self._settings.node, leader.term.token, relay=sorted(cluster.relayed(now)),
-            cancelled=cluster.cancelled_on(now), witnesses=cluster.last_heard(),
+            cancelled=cluster.cancelled_on(now), witnesses=cluster.latest_reporters(),
         )  # fmt: skip
 
     async def _bar(self, leader: Leader, peer: Peer, message: PeerMessage) -> None:
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -278,8 +278,8 @@
                 "name": m.name, "type": m.type.name, "zone": m.zone, "spot": m.spot, "status": m.status.value,
                 "tasks": len(m.attempts), "used_share": round(m.used_share(), 3), "draining": m.draining,
                 "quarantined": m.quarantined, "accounted": m.name not in cluster.unverified,
-                "silent_s": round(self._clock() - m.seen_at, 1) if m.seen_at >= 0 else None,
-                "reported_s": round(self._clock() - m.beat_at, 1) if m.beat_at >= 0 else None,
+                "silent_s": round(self._clock() - m.last_report_at, 1) if m.last_report_at >= 0 else None,
+                "reported_s": round(self._clock() - m.heartbeat_at, 1) if m.heartbeat_at >= 0 else None,
             }
             for m in cluster.machines.values()
         ]  # fmt: skip
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -95,9 +95,9 @@
         cluster, planner = self._duty.cluster, self._duty.planner
         quiet = self._quiet(now)
         self._look_at_zones(quiet, now)
-        silent = [m for m in quiet if m.seen_at >= 0 or m.fence_failed or m.name not in cluster.unverified]
+        silent = [m for m in quiet if m.last_report_at >= 0 or m.fence_failed or m.name not in cluster.unverified]
         if silent:
-            self._reached = cluster.last_heard()
+            self._reached = cluster.latest_reporters()
         for machine in self._worth_asking(silent):
             if not machine.probing:
                 machine.probing = True
@@ -109,7 +109,7 @@
         for machine in cluster.machines.values():
             if machine.status is Status.BOOTING and machine.zone not in kept_zones and self._overdue(machine, now):
                 cluster.release(machine, "never came up")
-            if machine.unheard >= c.UNHEARD_MOST or any(not a.wanted for a in machine.attempts.values()):
+            if machine.lost_answers >= c.UNHEARD_MOST or any(not a.wanted for a in machine.attempts.values()):
                 cluster.touched.add(machine)
         if sure:
             self._give_up([machine for machine in quiet if machine.zone not in kept_zones], many, now)
@@ -138,7 +138,7 @@
         lost = Counter(m.zone for m in quiet)
         answers: dict[str, bool] = {settings.zone: True}
         for peer in settings.peers:
-            heard_at = max(cluster.peer_heard.get(peer.node, cluster.started), cluster.started)
+            heard_at = max(cluster.peer_answered_at.get(peer.node, cluster.started), cluster.started)
             answers[peer.zone] = answers.get(peer.zone, False) or now - heard_at <= z.ANSWER_S
         for zone in settings.params.zones:
             self._duty.planner.look_at_zone(zone, ZoneSeen(up[zone], lost[zone], answers.get(zone)), now)
@@ -153,7 +153,7 @@
             else:
                 out.append(machine)
         for machines in cut.values():
-            out += heapq.nsmallest(z.PROBES, machines, key=lambda m: (m.probes + m.probes_unheard, m.name))
+            out += heapq.nsmallest(z.PROBES, machines, key=lambda m: (m.probes + m.isolated_probes, m.name))
         return out
 
     def _quiet(self, now: float) -> list[Machine]:
@@ -165,11 +165,11 @@
         least_s = min(c.FENCE_SILENT_S, c.SILENT_REPORTS * report_s)
         out = []
         for machine in cluster.machines.values():
-            if machine.status is not Status.UP or now - machine.seen_at <= least_s:
+            if machine.status is not Status.UP or now - machine.last_report_at <= least_s:
                 continue
-            fenced = machine.seen_at < 0 and machine.name in cluster.unverified
+            fenced = machine.last_report_at < 0 and machine.name in cluster.unverified
             patience_s = c.FENCE_SILENT_S if fenced else c.SILENT_REPORTS * report_s
-            if now - max(machine.seen_at, cluster.started) > patience_s:
+            if now - max(machine.last_report_at, cluster.started) > patience_s:
                 out.append(machine)
         return out
 
@@ -179,11 +179,11 @@
         While no other controller can be asked, a cut looks like a dead machine: then only the end of its
         lease decides, after which nothing runs there any more.
         """
-        if now - max(machine.seen_at, self._duty.cluster.started) > c.SILENT_LONG_S:
+        if now - max(machine.last_report_at, self._duty.cluster.started) > c.SILENT_LONG_S:
             return True
-        fenced = machine.seen_at < 0  # two tries to fence it came before
+        fenced = machine.last_report_at < 0  # two tries to fence it came before
         asked = machine.probes >= (1 if fenced else c.SILENT_PROBES)
-        return not many and (asked or (machine.probes_unheard > 0 and self._duty.cluster.lease_over(machine, now)))
+        return not many and (asked or (machine.isolated_probes > 0 and self._duty.cluster.lease_over(machine, now)))
 
     def _return_cancelled(self, quiet: list[Machine], kept_zones: set[str], sure: bool, now: float) -> None:
         """Silent machines that may hold a cancelled task are returned in time, however many are silent.
@@ -205,7 +205,7 @@
     def _heard_at(self) -> float:
         """When a machine or another controller was last heard of."""
         machines = (machine.reached_at for machine in self._duty.cluster.machines.values())
-        return max([*machines, *self._duty.cluster.peer_heard.values()], default=-math.inf)
+        return max([*machines, *self._duty.cluster.peer_answered_at.values()], default=-math.inf)
 
     def _log_kept(self, machine: Machine, since: float, decision: Decision, now: float) -> None:
         """Say what is decided of a machine that may hold a cancelled task: once, and when that changes."""
@@ -214,7 +214,7 @@
         machine.kept_because = decision.value
         log.info(
             "%s may hold a task cancelled %.1f s ago, is silent for %.1f s: %s",
-            machine.name, now - since, now - machine.seen_at, decision.value, extra={"machine": machine.name},
+            machine.name, now - since, now - machine.last_report_at, decision.value, extra={"machine": machine.name},
         )  # fmt: skip
 
     async def _probe(self, machine: Machine) -> None:
@@ -223,7 +223,7 @@
         with contextlib.suppress(NotSent, Lost):
             report = await self._workers.inspect(machine.addr)
         through_others, heard = False, True
-        if report is None and (machine.probes + 1 >= c.SILENT_PROBES or machine.seen_at < 0):
+        if report is None and (machine.probes + 1 >= c.SILENT_PROBES or machine.last_report_at < 0):
             report, heard = await self._peers.inspect(machine.addr, self._reached)
             through_others = report is not None
         self._duty.owner.post(lambda: self._probed(machine, report, sent, through_others, heard))
@@ -235,7 +235,7 @@
         if through_others:  # its reports are passed on, see Cluster.relayed
             machine.relay_until = self._duty.clock() + c.RELAY_STICKY_S
         machine.probes += heard
-        machine.probes_unheard += not heard
+        machine.isolated_probes += not heard
         if report is not None:
-            machine.probes = machine.probes_unheard = 0
+            machine.probes = machine.isolated_probes = 0
             self._on_report(report, sent, through_others)
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -155,7 +155,7 @@
             self.cluster.to_release.add(name)
             return
         machine = Machine(name, kind, record.zone, record.spot, record.addr, Status.UP, now, draining=record.draining)
-        machine.up_at = machine.idle_since = machine.beat_at = now
+        machine.up_at = machine.idle_since = machine.heartbeat_at = now
         machine.listed = True
         self.cluster.machines[name] = machine
         self.cluster.unverified.add(name)
@@ -252,7 +252,7 @@
             waiting.settle()
             return
         for index, report in enumerate(reports):
-            machine = self.cluster.on_report(report, now, beat=True)
+            machine = self.cluster.on_report(report, now, heartbeat=True)
             self._after_report()
             if machine is not None:
                 waiting.heartbeats.append((index, machine, report.seq))
@@ -275,7 +275,7 @@
 
     def _direct_report(self, report: Report, asked_at: float, through_others: bool = False) -> None:
         self.cluster.on_report(
-            report, self.clock(), beat=False, through_others=through_others, asked_at=asked_at
+            report, self.clock(), heartbeat=False, through_others=through_others, asked_at=asked_at
         )  # fmt: skip
         self._after_report()
 
@@ -348,7 +348,7 @@
         newest = seq == machine.seq
         orders = self.cluster.orders_for_heartbeat(machine, sure, now) if newest else []
         answer = wire.report_answer(self.term.token, orders)
-        if follower and newest and not orders and self.cluster.settled(machine):
+        if follower and newest and not orders and self.cluster.can_delegate(machine):
             answer[GRANT] = self.cluster.delegations.grant(follower, machine.name)
         return answer
 
@@ -361,7 +361,7 @@
                 self.cluster.touched.add(machine)
                 continue
             orders, launched = self.cluster.orders_direct(machine, now)
-            if orders or machine.unheard >= c.UNHEARD_MOST:  # without orders it tells whether it hears us again
+            if orders or machine.lost_answers >= c.UNHEARD_MOST:  # without orders it tells whether it hears us again
                 machine.sending = True
                 self._duty.spawn(self._command, machine, machine.session, orders, launched)
 
--- a/pepperlatch/policy/cancellations.py
+++ b/pepperlatch/policy/cancellations.py
@@ -76,10 +76,10 @@
         return Decision.NOTHING
     if machine.zone in seen.kept_zones:
         return Decision.KEEP_ZONE
-    silent_since = max(machine.seen_at, seen.started) + _silence_s(workers)
+    silent_since = max(machine.last_report_at, seen.started) + _silence_s(workers)
     if now <= silent_since or now - since <= return_after_s(workers):
         return Decision.WAIT
-    if machine.probes + machine.probes_unheard < (1 if machine.seen_at < 0 else c.SILENT_PROBES):
+    if machine.probes + machine.isolated_probes < (1 if machine.last_report_at < 0 else c.SILENT_PROBES):
         return Decision.ASK
     if seen.sure:
         return Decision.RETURN
--- a/pepperlatch/policy/cancelled_tasks.py
+++ b/pepperlatch/policy/cancelled_tasks.py
@@ -39,7 +39,8 @@
             machine.cancelled_since = since
             log.info(
                 "%s may hold %s of a cancelled job, counted from %.1f s ago, last heard of %.1f s ago",
-                machine.name, task, now - since, now - machine.seen_at, extra={"job": job_id, "machine": machine.name},
+                machine.name, task, now - since, now - machine.last_report_at,
+                extra={"job": job_id, "machine": machine.name},
             )  # fmt: skip
 
     def holds_none(self, machine: Machine, now: float) -> None:
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -78,7 +78,7 @@
         self._next = 0
         self.started = now
         self.stand_ins: dict[str, StandIn] = {}
-        self.peer_heard: dict[str, float] = {}  # when another controller last answered us
+        self.peer_answered_at: dict[str, float] = {}  # when another controller last answered us
         self.delegations = Delegations()
         self.images = ImageMemory()
         self.boots = Boots()
@@ -159,17 +159,17 @@
         unaccounted = machine.name in self.unverified
         return min(machine.cancelled_since, unverified_cancelled_since) if unaccounted else machine.cancelled_since
 
-    def last_heard(self) -> list[str]:
+    def latest_reporters(self) -> list[str]:
         """Machines that others should reach if they reach any: asked too by one that does not reach a silent one."""
-        up = (m for m in self.machines.values() if m.status is Status.UP and m.seen_at >= 0)
-        return [m.addr for m in heapq.nlargest(c.WITNESS_ASKS, up, key=lambda m: (m.seen_at, m.name))]
+        up = (m for m in self.machines.values() if m.status is Status.UP and m.last_report_at >= 0)
+        return [m.addr for m in heapq.nlargest(c.WITNESS_ASKS, up, key=lambda m: (m.last_report_at, m.name))]
 
     def cancelled_on(self, now: float) -> list[CancelledOn]:
         """The machines that may hold a task of a cancelled job; those that were not heard of for longest first."""
         unverified_cancelled_since = self.unverified_cancelled_since(now)
         found = [(m, self.cancelled_since(m, unverified_cancelled_since)) for m in self.machines.values() if m.addr]
         found = [(machine, since) for machine, since in found if math.isfinite(since)]
-        found.sort(key=lambda row: (row[0].seen_at, row[0].name))
+        found.sort(key=lambda row: (row[0].last_report_at, row[0].name))
         return [CancelledOn(m.name, m.addr, now - since) for m, since in found[: c.CANCELLED_TOLD_MOST]]
 
     def explain(self, job: Job, reason: Reason, now: float) -> None:
@@ -278,11 +278,11 @@
     # --- reports ----------------------------------------------------------------------------------
 
     def on_report(
-        self, report: Report, now: float, beat: bool, through_others: bool = False, asked_at: float = float("-inf")
+        self, report: Report, now: float, heartbeat: bool, through_others: bool = False, asked_at: float = float("-inf")
     ) -> Machine | None:
         """Take in a report; None for machines that are gone or of an unknown type.
 
-        `beat`: it waits for an answer with orders. `through_others`: another controller asked the worker; what
+        `heartbeat`: it waits for an answer with orders. `through_others`: another controller asked the worker; what
         we want of it cannot go back that way. `asked_at`: it is the answer to a question that was sent then.
         """
         if report.token > self.token:
@@ -298,22 +298,22 @@
         if (report.session, report.seq) <= (machine.session, machine.seq):
             self._older(machine, asked_at)
             return machine
-        if report.session <= machine.over_session:
+        if report.session <= machine.last_ended_session:
             return machine  # late: nothing that it shows is there any more
-        if beat:
+        if heartbeat:
             self._heard(machine, report)
         if report.session > machine.session:
             self._all_gone(machine, now, "its worker began anew")
             machine.began_by = now  # nobody may have answered this session yet: its lease runs from its beginning
-            if machine.session and not beat:
-                machine.beat_at = -1.0  # its lease ended, and it has not reported since: it may reach nobody
+            if machine.session and not heartbeat:
+                machine.heartbeat_at = -1.0  # its lease ended, and it has not reported since: it may reach nobody
         machine.session, machine.seq, machine.addr = report.session, report.seq, report.addr
-        machine.newest_at = now
-        machine.seen_at, machine.probes, machine.probes_unheard = now, 0, 0
+        machine.newest_message_at = now
+        machine.last_report_at, machine.probes, machine.isolated_probes = now, 0, 0
         if not through_others:
             machine.reached_at = now
-        if beat:
-            machine.beat_at = now
+        if heartbeat:
+            machine.heartbeat_at = now
         if report.notice_s is not None:
             self._noticed(machine, now + report.notice_s)
         if machine.leaves_silent and machine.name not in self.releasing:
@@ -321,16 +321,16 @@
             machine.status, machine.leaves_silent, machine.return_needs_lease = Status.UP, False, True
             self.to_release.discard(machine.name)
         self._account(machine, report, now)
-        self._tasks(machine, report, now, beat)
+        self._tasks(machine, report, now, heartbeat)
         if math.isfinite(machine.cancelled_since) and not self._holds_cancelled(machine):
             self.cancelled.holds_none(machine, now)
         return machine
 
     def _noticed(self, machine: Machine, at: float) -> None:
         """The cloud takes the machine then, or sooner: each report may have been under way for seconds."""
-        if machine.notice_at is None:
+        if machine.reclaim_at is None:
             self.dirty = True
-        machine.notice_at = at if machine.notice_at is None else min(machine.notice_at, at)
+        machine.reclaim_at = at if machine.reclaim_at is None else min(machine.reclaim_at, at)
 
     def _heard(self, machine: Machine, report: Report) -> None:
         """Whether our answers arrive there. A worker reports again only once it has the last answer or has dropped it.
@@ -343,9 +343,9 @@
         if machine.offered is not None and report.seq > machine.offered[0]:
             shown = {(task.task, task.attempt) for task in report.tasks}
             arrived = report.session == machine.session and not shown.isdisjoint(machine.offered[1])
-            machine.unheard = 0 if arrived else machine.unheard + 1
+            machine.lost_answers = 0 if arrived else machine.lost_answers + 1
             machine.offered = None
-            if machine.unheard == c.UNHEARD_MOST:
+            if machine.lost_answers == c.UNHEARD_MOST:
                 log.info("%s does not hear us", machine.name, extra={"machine": machine.name})
 
     def _older(self, machine: Machine, asked_at: float) -> None:
@@ -354,7 +354,7 @@
         Numbers grow with every message of a worker. One that counts from the beginning has lost its tasks and its
         token, and would carry out what was held for it before: only the machine's return proves that gone.
         """
-        if asked_at > machine.newest_at:
+        if asked_at > machine.newest_message_at:
             self.release(machine, "its worker began anew under old numbers")
 
     def _meet(self, report: Report, now: float) -> Machine | None:
@@ -398,7 +398,7 @@
             log.info("machine %s up after %.1f s", name, now - machine.born, extra={"machine": name})
             self.listener.machine(machine, "up", "", now)
 
-    def _tasks(self, machine: Machine, report: Report, now: float, beat: bool) -> None:
+    def _tasks(self, machine: Machine, report: Report, now: float, heartbeat: bool) -> None:
         shown = {(t.task, t.attempt): t for t in report.tasks}
         machine.ended = {key: t for key, t in shown.items() if t.state is TaskState.EXITED}
         machine.unreaped = {key: until for key, until in machine.unreaped.items() if key in machine.ended}
@@ -418,7 +418,7 @@
             self.unknown_tasks.pop(machine.name, None)
         for key, attempt in list(machine.attempts.items()):
             if key not in shown:
-                self._absent(machine, key, attempt, report.seq, beat, now)
+                self._absent(machine, key, attempt, report.seq, heartbeat, now)
 
     def _progress(self, attempt: Attempt, state: TaskState, now: float) -> None:
         if attempt.phase is not Phase.THERE:
@@ -445,18 +445,18 @@
         for _, machine, image, gb in list(self.images.on(self.machines)):
             self.machines[machine].used_image(image, gb)
 
-    def _absent(self, machine: Machine, key: Key, attempt: Attempt, seq: int, beat: bool, now: float) -> None:
+    def _absent(self, machine: Machine, key: Key, attempt: Attempt, seq: int, heartbeat: bool, now: float) -> None:
         """Not in the newest report. Only a launch sent in a report's answer is disproved by that.
 
         A direct launch may still be in flight, for minutes if a cut holds it: it stays "possibly there".
         """
         if attempt.phase is Phase.THERE and key not in machine.sticky:
             self._lose(attempt, now, "not on its machine any more")
-        elif attempt.phase is Phase.SENT and beat and 0 <= attempt.sent_seq < seq and key not in machine.sticky:
+        elif attempt.phase is Phase.SENT and heartbeat and 0 <= attempt.sent_seq < seq and key not in machine.sticky:
             attempt.phase = Phase.PLANNED
             if not attempt.wanted:
                 self._lose(attempt, now, attempt.stopped_for)
-            elif machine.unheard >= c.UNHEARD_MOST:
+            elif machine.lost_answers >= c.UNHEARD_MOST:
                 self._lose(attempt, now, "its machine does not hear us")
             self.touched.add(machine)
 
@@ -608,7 +608,7 @@
 
     # --- delegated heartbeats ---------------------------------------------------------------------
 
-    def settled(self, machine: Machine) -> bool:
+    def can_delegate(self, machine: Machine) -> bool:
         """Whether the machine's last report wants no order and tells nothing that is still to be dealt with."""
         return (
             machine.status is Status.UP
@@ -616,9 +616,9 @@
             and machine.name not in self.unverified
             and machine.name not in self.unknown_tasks
             and not machine.ended
-            and not machine.unheard
+            and not machine.lost_answers
             and machine.offered is None
-            and machine.notice_at is None
+            and machine.reclaim_at is None
             and math.isinf(machine.cancelled_since)
             and all(attempt.phase is Phase.THERE and attempt.wanted for attempt in machine.attempts.values())
         )
@@ -632,7 +632,7 @@
         revoked = []
         for grant in statement.held:
             machine = self.machines.get(grant.machine)
-            if machine is None or machine.session != grant.session or not self.settled(machine):
+            if machine is None or machine.session != grant.session or not self.can_delegate(machine):
                 revoked.append(grant.machine)
             elif grant.heard_s >= 0:
                 self._heard_through(machine, grant.heard_s, now)
@@ -642,13 +642,13 @@
     def _heard_through(self, machine: Machine, heard_s: float, now: float) -> None:
         """A follower has answered its heartbeat; until the next one is late it counts as heard of."""
         if heard_s <= c.DELEGATION_LATE_REPORTS * self.params.workers.report_s:
-            machine.seen_at = machine.reached_at = machine.beat_at = now
-            machine.probes = machine.probes_unheard = 0
+            machine.last_report_at = machine.reached_at = machine.heartbeat_at = now
+            machine.probes = machine.isolated_probes = 0
             return
-        heard_at = max(machine.newest_at, now - heard_s)
-        machine.seen_at = min(machine.seen_at, heard_at)
+        heard_at = max(machine.newest_message_at, now - heard_s)
+        machine.last_report_at = min(machine.last_report_at, heard_at)
         machine.reached_at = min(machine.reached_at, heard_at)
-        machine.beat_at = min(machine.beat_at, heard_at)
+        machine.heartbeat_at = min(machine.heartbeat_at, heard_at)
 
     def answered_peer(self, peer: str, now: float) -> None:
         """From here on the other controller may stand in for us, until `hold_s` after it asked."""
@@ -660,7 +660,7 @@
         It remembers only what its present process did: that began so long ago as stands under BEGAN. Without it (an
         earlier version) the promise counts for nothing, and only time does.
         """
-        self.peer_heard[peer] = now
+        self.peer_answered_at[peer] = now
         other, began_s = self.stand_ins.get(peer), stood_in.get(BEGAN)
         if other is not None and began_s is not None:
             other.barred_until = until
@@ -675,7 +675,7 @@
             holds = machine.attempts or machine.name in self.unverified
             if holds and machine.status in (Status.UP, Status.LEAVING) and self.lease_over(machine, now):
                 log.info("the lease of %s is over", machine.name, extra={"machine": machine.name})
-                machine.over_session = machine.session  # what was sent into it can never be carried out
+                machine.last_ended_session = machine.session  # what was sent into it can never be carried out
                 self._all_gone(machine, now, "its machine's lease is over")
                 self._accounted(machine.name, now)
                 self.dirty = True
@@ -713,9 +713,9 @@
         return job is None or task.why is not Cause.DONE or (parts is not None and parts[1] in job.saved)
 
     def _order(self, attempt: Attempt, seq: int, now: float) -> list[dict[str, Any]]:
-        beat = seq >= 0
+        heartbeat = seq >= 0
         name, number = attempt.name, attempt.number
-        if attempt.phase is Phase.PLANNED or (attempt.phase is Phase.UNSURE and beat):
+        if attempt.phase is Phase.PLANNED or (attempt.phase is Phase.UNSURE and heartbeat):
             orders = [wire.launch(name, number)]
             if attempt.phase is Phase.PLANNED:
                 attempt.phase = Phase.SENT
@@ -743,7 +743,7 @@
     def direct_result(self, machine: Machine, launched: list[Attempt], executed: bool | None, now: float) -> None:
         """executed: True, False (surely not), or None (no answer: it may happen minutes from now)."""
         if executed:
-            machine.unheard = 0
+            machine.lost_answers = 0
         for attempt in launched:
             key = (attempt.name, attempt.number)
             if machine.attempts.get(key) is not attempt or attempt.phase is not Phase.SENT:
--- a/pepperlatch/policy/model.py
+++ b/pepperlatch/policy/model.py
@@ -122,10 +122,10 @@
     images: dict[str, float] = field(default_factory=dict)  # fetched, most recently used last
     session: int = 0
     seq: int = -1
-    seen_at: float = -1.0  # last report, however it came
-    newest_at: float = -1.0  # when the newest of its messages came, by session and number
+    last_report_at: float = -1.0  # last report, however it came
+    newest_message_at: float = -1.0  # when the newest of its messages came, by session and number
     reached_at: float = -1.0  # last report that came with a way back: a beat, or an answer to a question of ours
-    beat_at: float = -1.0  # last report that waited for an answer of ours; at first when the leader took over
+    heartbeat_at: float = -1.0  # last report that waited for an answer of ours; at first when the leader took over
     cancelled_since: float = math.inf  # a job that may have a task here was cancelled no earlier; infinite: none was
     kept_because: str = ""  # what was decided last if it may hold a cancelled task, as logged
     return_needs_lease: bool = True  # that of the leader's key; not if it may hold a cancelled task and time is short
@@ -133,13 +133,13 @@
     fenced: bool = False  # a report has shown our token: no earlier leader commands or answers it any more
     began_by: float = -1.0  # its known session had begun by then, and its worker had our token if it has it
     answered_at: float = -1.0  # a report of it was last answered: by us, or by a stand-in as far as we were told
-    over_session: int = -1  # sessions up to this one are surely over
+    last_ended_session: int = -1  # sessions up to this one are surely over
     offered: tuple[int, frozenset[tuple[str, int]]] | None = None  # launches in an answer, and of which report
-    unheard: int = 0  # answers with launches in a row that its next report showed not to have arrived
+    lost_answers: int = 0  # answers with launches in a row that its next report showed not to have arrived
     hire: str | None = None
     up_at: float | None = None
     idle_since: float | None = None
-    notice_at: float | None = None  # when the cloud takes it
+    reclaim_at: float | None = None  # when the cloud takes it
     leaves_silent: bool = False  # returned only because it was not heard of
     leaves_for: str = ""  # why it is being returned, in a few words
     draining: str | None = None
@@ -148,7 +148,7 @@
     failed_at: float = -1.0
     pace: list[float] = field(default_factory=list)  # run time over usual run time of tasks that finished
     probes: int = 0
-    probes_unheard: int = 0  # when no other controller answered either
+    isolated_probes: int = 0  # when no other controller answered either
     probing: bool = False
     fence_failed: bool = False  # a try to show it our token got no answer
     relay_until: float = float("-inf")  # only others reach it
--- a/pepperlatch/policy/placement.py
+++ b/pepperlatch/policy/placement.py
@@ -20,11 +20,11 @@
         machine.status is Status.UP
         and machine.draining is None
         and not machine.quarantined
-        and machine.notice_at is None
-        and machine.session > machine.over_session
+        and machine.reclaim_at is None
+        and machine.session > machine.last_ended_session
         and now - machine.reached_at <= fresh_s
-        and now - machine.beat_at <= c.MUTE_TIMES * fresh_s
-        and machine.unheard < c.UNHEARD_MOST
+        and now - machine.heartbeat_at <= c.MUTE_TIMES * fresh_s
+        and machine.lost_answers < c.UNHEARD_MOST
     )
 
 
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -600,10 +600,10 @@
     def notices(self, now: float) -> None:
         """A spot machine about to be taken is drained; what will finish in time is left alone."""
         for machine in self.cluster.machines.values():
-            if machine.notice_at is None:
+            if machine.reclaim_at is None:
                 continue
             for attempt in list(machine.attempts.values()):
-                if attempt.wanted and not self._finishes(attempt, machine.notice_at, now):
+                if attempt.wanted and not self._finishes(attempt, machine.reclaim_at, now):
                     self.cluster.stop(attempt, attempt.job.spec.save_s, "the cloud takes its machine")
 
     def _finishes(self, attempt: Attempt, at: float, now: float) -> bool:
@@ -622,4 +622,4 @@
 
 def _broken(machine: Machine) -> bool:
     """It takes no tasks any more, whatever waits."""
-    return machine.quarantined or machine.notice_at is not None
+    return machine.quarantined or machine.reclaim_at is not None
--- a/tests/acceptance/test_back_at_once.py
+++ b/tests/acceptance/test_back_at_once.py
@@ -208,11 +208,11 @@
 def test_a_worker_that_counts_from_the_beginning_is_returned_and_a_late_report_is_only_late() -> None:
     one = machine("n-1")
     cluster = cluster_of(one)
-    cluster.on_report(report(2, 40), 10.0, beat=True)
-    cluster.on_report(report(1, 7), 11.0, beat=True)
-    cluster.on_report(report(2, 39), 12.0, beat=False, asked_at=9.5)
+    cluster.on_report(report(2, 40), 10.0, heartbeat=True)
+    cluster.on_report(report(1, 7), 11.0, heartbeat=True)
+    cluster.on_report(report(2, 39), 12.0, heartbeat=False, asked_at=9.5)
     assert one.status is Status.UP, "late, or asked before the newest came"
-    cluster.on_report(report(1, 2), 13.0, beat=False, asked_at=12.5)
+    cluster.on_report(report(1, 2), 13.0, heartbeat=False, asked_at=12.5)
     assert (one.status, one.name in cluster.to_release) == (Status.LEAVING, True)
 
 
@@ -255,11 +255,11 @@
 def test_what_was_launched_directly_is_taken_off_the_list_when_no_copy_can_come() -> None:
     one = machine("n-1")
     cluster = cluster_of(one)
-    cluster.on_report(report(1, 1), 1.0, beat=True)
+    cluster.on_report(report(1, 1), 1.0, heartbeat=True)
     held = cluster.place(cluster.add_job(spec_of(1, pieces=1), 3, 0.0, set()), 0, one, 1.0)
     held.sent_seq, held.phase = -1, held.phase.THERE
     row = {"piece": held.name, "try": held.number, "status": "ended", "cause": Cause.STOPPED.value}
-    cluster.on_report(report(1, 2, pieces=[row]), 2.0, beat=True)
+    cluster.on_report(report(1, 2, pieces=[row]), 2.0, heartbeat=True)
 
     def reaped(now: float) -> bool:
         return any(order["verb"] == "reap" for order in cluster.orders_for_heartbeat(one, True, now))
--- a/tests/cuts/test_sessions.py
+++ b/tests/cuts/test_sessions.py
@@ -90,37 +90,37 @@
     def shown(name: str, session: int, attempt: int) -> Report:
         return report(session, 1, perch=name, pieces=[{"piece": "run-000001/0", "try": attempt, "status": "running"}])
 
-    cluster.on_report(shown("n-1", 1, 41), 1.0, beat=True)
-    cluster.on_report(shown("n-2", 1, 42), 2.0, beat=True)
+    cluster.on_report(shown("n-1", 1, 41), 1.0, heartbeat=True)
+    cluster.on_report(shown("n-2", 1, 42), 2.0, heartbeat=True)
     assert task.live[0].machine is two, "it was started there later, so it is gone from the other"
     assert cluster.quota.of("red").cpus == 4.0, "which is to be shown yet"
-    cluster.on_report(report(2, 1), 3.0, beat=True)
+    cluster.on_report(report(2, 1), 3.0, heartbeat=True)
     assert cluster.quota.of("red").cpus == 2.0
     assert (list(task.waiting), task.live[0].machine) == ([], two)
-    cluster.on_report(report(1, 2, perch="n-2"), 4.0, beat=True)
+    cluster.on_report(report(1, 2, perch="n-2"), 4.0, heartbeat=True)
     assert list(task.waiting) == [0], "gone there as well"
 
 
 def test_the_lease_of_a_session_runs_from_its_beginning_until_somebody_answers_it() -> None:
     one = machine("n-1")
     cluster = cluster_of(one)
-    cluster.on_report(report(1, 5), 1.0, beat=True)
+    cluster.on_report(report(1, 5), 1.0, heartbeat=True)
     one.answered_at = 1.0
-    cluster.on_report(report(2, 9), 20.0, beat=False, through_others=True)
+    cluster.on_report(report(2, 9), 20.0, heartbeat=False, through_others=True)
     cluster.place(cluster.add_job(wire.convert(job(1), wire.JobSpec), 9, 20.0, set()), 0, one, 20.0)
     cluster.expire(20.0 + LEASE_S)
     assert one.attempts, "nobody answered session 2, but it began no earlier than it was seen"
     cluster.expire(20.1 + LEASE_S + SLACK_S)
     assert not one.attempts
-    cluster.on_report(report(2, 11), 34.0, beat=True)
-    assert one.seen_at == 20.0, "a late report of a session that is over says nothing of what is there"
+    cluster.on_report(report(2, 11), 34.0, heartbeat=True)
+    assert one.last_report_at == 20.0, "a late report of a session that is over says nothing of what is there"
 
 
 def test_an_earlier_leader_may_answer_a_machine_until_it_has_seen_the_token() -> None:
     one = machine("n-1")
     cluster = cluster_of(one)
-    cluster.on_report(report(1, 5, TOKEN - 1), 0.5, beat=False)
-    cluster.on_report(report(1, 6), 9.0, beat=False)
+    cluster.on_report(report(1, 5, TOKEN - 1), 0.5, heartbeat=False)
+    cluster.on_report(report(1, 6), 9.0, heartbeat=False)
     assert not cluster.unverified
     assert not cluster.lease_over(one, 8.9 + LEASE_S), "the earlier leader may have answered it just before"
     assert cluster.lease_over(one, 9.1 + LEASE_S + SLACK_S)
@@ -130,13 +130,13 @@
     """Also one that only we have met: the earlier leader may have rented it, too."""
     one = machine("n-1")
     cluster = cluster_of(one)
-    cluster.on_report(report(1, 5, TOKEN - 1), 0.5, beat=True)
+    cluster.on_report(report(1, 5, TOKEN - 1), 0.5, heartbeat=True)
     one.answered_at = BLIND_S - 1
     cluster.expire(BLIND_S + 1)
     assert cluster.unverified, "our own answer may have reached it"
     met = machine("n-2")
     cluster.machines["n-2"] = met
-    cluster.on_report(report(1, 1, 0, perch="n-2"), 2.0, beat=True)
+    cluster.on_report(report(1, 1, 0, perch="n-2"), 2.0, heartbeat=True)
     assert not cluster.lease_over(met, BLIND_S - 0.1)
     assert cluster.lease_over(met, BLIND_S + 0.1)
 
@@ -144,7 +144,7 @@
 def test_one_that_stands_in_and_starts_anew_has_forgotten_for_whom_it_did() -> None:
     one = machine("n-1")
     cluster = cluster_of(one)
-    cluster.on_report(report(1, 5), 1.0, beat=True)
+    cluster.on_report(report(1, 5), 1.0, heartbeat=True)
     cluster.answered_peer("perch-1", 1.0)
     over = 1.1 + LEASE_S + SLACK_S
     cluster.on_promise("perch-1", {BEGAN: 0.5}, over + 2, over)
@@ -185,13 +185,13 @@
     """Seen: 2,445 times a session's tasks were given up and placed again, on machines known through others only."""
     one, fresh_s = machine("n-1"), 2.2 * REPORT_S
     cluster = cluster_of(one)
-    cluster.on_report(report(1, 6), 1.0, beat=False)
+    cluster.on_report(report(1, 6), 1.0, heartbeat=False)
     assert placement.usable(one, 1.0, fresh_s)
-    cluster.on_report(report(1, 7), 1.0 + 2 * fresh_s, beat=False, through_others=True)
+    cluster.on_report(report(1, 7), 1.0 + 2 * fresh_s, heartbeat=False, through_others=True)
     assert not placement.usable(one, 1.0 + 2 * fresh_s, fresh_s), "heard of, but not reached"
-    cluster.on_report(report(1, 8), 30.0, beat=True)
+    cluster.on_report(report(1, 8), 30.0, heartbeat=True)
     assert placement.usable(one, 30.0, fresh_s)
-    one.over_session = 1
+    one.last_ended_session = 1
     assert not placement.usable(one, 30.0, fresh_s), "only its next session can take anything"
 
 
@@ -205,7 +205,7 @@
     for task in range(3):
         gang.waiting.remove(task)
         cluster.place(gang, task, one, 0.0, number).phase = Phase.PLANNED
-    cluster.on_report(report(2, 9), 5.0, beat=True)
+    cluster.on_report(report(2, 9), 5.0, heartbeat=True)
     assert sorted(gang.waiting) == [0, 1, 2]
 
 
--- a/tests/gangs/test_room.py
+++ b/tests/gangs/test_room.py
@@ -16,7 +16,7 @@
 
 
 def cards(name: str, zone: str = "a", images: tuple[str, ...] = ()) -> Machine:
-    made = Machine(name, KIND, zone, False, "", Status.UP, 0.0, seen_at=NOW, reached_at=NOW, beat_at=NOW)
+    made = Machine(name, KIND, zone, False, "", Status.UP, 0.0, last_report_at=NOW, reached_at=NOW, heartbeat_at=NOW)
     made.images = dict.fromkeys(images, 1.0)
     return made
 
--- a/tests/heartbeats/test_delegation.py
+++ b/tests/heartbeats/test_delegation.py
@@ -219,7 +219,9 @@
         leader = world.nodes[world.leader()].leader
         assert leader is not None
         for machine in leader.cluster.machines.values():
-            assert trio.current_time() - machine.seen_at < c.SILENT_REPORTS * REPORT_S, "the summary says who is heard"
+            assert trio.current_time() - machine.last_report_at < c.SILENT_REPORTS * REPORT_S, (
+                "the summary says who is heard"
+            )
 
     story(tell, count)
 
--- a/tests/meetings/test_limits.py
+++ b/tests/meetings/test_limits.py
@@ -127,7 +127,7 @@
     cluster.add_job(spec_of(1, pieces=50, cores=2.0), 3, 0.0, set())
     cluster.count_unverified_usage()
     assert cluster.quota.unverified["red"].cpus == 16.0
-    cluster.on_report(report(1, 1), 1.0, beat=True)
+    cluster.on_report(report(1, 1), 1.0, heartbeat=True)
     cluster.count_unverified_usage()
     assert cluster.quota.unverified["red"].cpus == 8.0
     cluster.unverified.add("of a type that nobody knows")
@@ -140,10 +140,10 @@
     cluster.add_job(spec_of(1, pieces=1, cores=4.0), 3, 0.0, set())
     for name in ("n-2", "n-1"):
         shown = [{"piece": "run-000001/0", "try": 41 if name == "n-1" else 42, "status": "running"}]
-        cluster.on_report(report(1, 1, perch=name, pieces=shown), 1.0, beat=True)
+        cluster.on_report(report(1, 1, perch=name, pieces=shown), 1.0, heartbeat=True)
     cluster.count_unverified_usage()
     assert (cluster.quota.of("red").cpus, cluster.quota.unverified) == (4.0, {"red": Use(4.0, 0.0)})
-    cluster.on_report(report(1, 2), 2.0, beat=True)
+    cluster.on_report(report(1, 2), 2.0, heartbeat=True)
     cluster.count_unverified_usage()
     assert cluster.quota.unverified == {}
 
@@ -158,9 +158,9 @@
     cluster.count_unverified_usage()
     assert cluster.quota.unverified["red"].cpus == 6.0
     shown = [{"piece": "run-000001/1", "try": 41, "status": "running"}]
-    cluster.on_report(report(1, 1, pieces=shown), 1.0, beat=True)
+    cluster.on_report(report(1, 1, pieces=shown), 1.0, heartbeat=True)
     cluster.count_unverified_usage()
     assert (cluster.quota.of("red").cpus, cluster.quota.unverified["red"].cpus) == (2.0, 4.0)
-    cluster.on_report(report(1, 1, perch="n-2"), 2.0, beat=True)
+    cluster.on_report(report(1, 1, perch="n-2"), 2.0, heartbeat=True)
     cluster.count_unverified_usage()
     assert cluster.quota.unverified == {}
--- a/tests/meetings/test_machines_and_leaders.py
+++ b/tests/meetings/test_machines_and_leaders.py
@@ -244,11 +244,11 @@
     cluster.types = {TYPE.name: TYPE}
     shown = [{"piece": "run-000001/0", "try": 41, "status": "running"}]
     job_ = cluster.add_job(spec_of(1, pieces=1), 3, 0.0, set())
-    assert cluster.on_report(report(1, 9, TOKEN - 1, pieces=shown), 1.0, beat=True) is None
+    assert cluster.on_report(report(1, 9, TOKEN - 1, pieces=shown), 1.0, heartbeat=True) is None
     assert list(job_.waiting) == [0] and not cluster.machines
-    met = cluster.on_report(report(1, 9, TOKEN - 1), 1.0, beat=True)
+    met = cluster.on_report(report(1, 9, TOKEN - 1), 1.0, heartbeat=True)
     assert met is not None and (met.status, cluster.to_record) == (Status.BOOTING, set())
-    cluster.on_report(report(1, 10), 2.0, beat=True)
+    cluster.on_report(report(1, 10), 2.0, heartbeat=True)
     assert (met.status, cluster.to_record) == (Status.JOINING, {met})
 
 
@@ -260,10 +260,10 @@
     def rows(attempt: int, *tasks: int) -> list[dict[str, Any]]:
         return [{"piece": f"run-000001/{n}", "try": attempt, "status": "waiting"} for n in tasks]
 
-    cluster.on_report(report(1, 1, TOKEN - 1, pieces=rows(41, 0, 1)), 1.0, beat=True)
-    cluster.on_report(report(1, 1, perch="n-2", pieces=rows(42, 0, 1)), 2.0, beat=True)
+    cluster.on_report(report(1, 1, TOKEN - 1, pieces=rows(41, 0, 1)), 1.0, heartbeat=True)
+    cluster.on_report(report(1, 1, perch="n-2", pieces=rows(42, 0, 1)), 2.0, heartbeat=True)
     assert {a.machine for a in gang.live.values()} == {two}
-    cluster.on_report(report(1, 2, TOKEN - 1), 3.0, beat=True)
+    cluster.on_report(report(1, 2, TOKEN - 1), 3.0, heartbeat=True)
     assert all(a.wanted for a in gang.live.values()) and not gang.waiting
     assert cluster.quota.of("red").cpus == 4.0
 
--- a/tests/meetings/test_moments.py
+++ b/tests/meetings/test_moments.py
@@ -13,12 +13,12 @@
     """
     one = machine("n-1")
     cluster = cluster_of(one)
-    cluster.on_report(report(1, 1, reclaim_in_s=30.0), 106.0, beat=True)
-    assert one.notice_at == 136.0
-    cluster.on_report(report(1, 2, reclaim_in_s=22.0), 108.0, beat=True)
-    assert one.notice_at == 130.0
-    cluster.on_report(report(1, 3, reclaim_in_s=25.0), 110.0, beat=True)
-    assert one.notice_at == 130.0, "a report that came late says nothing of a later end"
+    cluster.on_report(report(1, 1, reclaim_in_s=30.0), 106.0, heartbeat=True)
+    assert one.reclaim_at == 136.0
+    cluster.on_report(report(1, 2, reclaim_in_s=22.0), 108.0, heartbeat=True)
+    assert one.reclaim_at == 130.0
+    cluster.on_report(report(1, 3, reclaim_in_s=25.0), 110.0, heartbeat=True)
+    assert one.reclaim_at == 130.0, "a report that came late says nothing of a later end"
 
 
 def test_the_age_of_a_machine_that_never_comes_up_is_not_counted_anew_by_each_leader() -> None:
--- a/tests/meetings/test_other_meetings.py
+++ b/tests/meetings/test_other_meetings.py
@@ -44,18 +44,18 @@
 def test_an_answer_that_a_later_report_disproves_renewed_no_lease() -> None:
     one = machine("n-1")
     cluster = cluster_of(one)
-    cluster.on_report(report(1, 5, TOKEN - 1), 1.0, beat=True)
+    cluster.on_report(report(1, 5, TOKEN - 1), 1.0, heartbeat=True)
     one.answered_at = 1.0
     at = 3.0
     while at < BLIND_S + 4:
-        cluster.on_report(report(1, 10 + int(at), TOKEN - 1), at, beat=True)
+        cluster.on_report(report(1, 10 + int(at), TOKEN - 1), at, heartbeat=True)
         cluster.expire(at)
         assert (at > BLIND_S) == ("n-1" not in cluster.unverified), at
         one.answered_at = at
         at += 2.0
     cluster = cluster_of(two := machine("n-1"))
     two.answered_at = BLIND_S
-    cluster.on_report(report(1, 5, TOKEN - 1), BLIND_S + 1, beat=False)
+    cluster.on_report(report(1, 5, TOKEN - 1), BLIND_S + 1, heartbeat=False)
     cluster.expire(BLIND_S + 2)
     assert cluster.unverified, "an answer to a question does not show that no answer to a report is on its way"
 
@@ -85,15 +85,15 @@
 def test_what_arrived_there_makes_a_machine_hear_again() -> None:
     one = machine("n-1")
     cluster = cluster_of(one)
-    cluster.on_report(report(1, 1), 0.1, beat=True)
+    cluster.on_report(report(1, 1), 0.1, heartbeat=True)
     attempt = cluster.place(cluster.add_job(spec_of(1, pieces=1), 9, 0.1, set()), 0, one, 0.1)
     shown = [{"piece": attempt.name, "try": attempt.number, "status": "pulling"}]
     for seq in range(2, 2 + c.UNHEARD_MOST):
-        cluster.on_report(report(1, seq), float(seq), beat=True)
+        cluster.on_report(report(1, seq), float(seq), heartbeat=True)
         assert cluster.orders_for_heartbeat(one, True, float(seq)), "offered again"
-    assert one.unheard == c.UNHEARD_MOST - 1 and attempt.phase is Phase.SENT
-    cluster.on_report(report(1, 9, pieces=shown), 9.0, beat=True)
-    assert (one.unheard, attempt.phase) == (0, Phase.THERE)
+    assert one.lost_answers == c.UNHEARD_MOST - 1 and attempt.phase is Phase.SENT
+    cluster.on_report(report(1, 9, pieces=shown), 9.0, heartbeat=True)
+    assert (one.lost_answers, attempt.phase) == (0, Phase.THERE)
 
 
 # --- transactions that are carried out late ---------------------------------------------------------
--- a/tests/meetings/test_returns_of_hung_machines.py
+++ b/tests/meetings/test_returns_of_hung_machines.py
@@ -24,7 +24,7 @@
 
 def silent(**more: Any) -> Machine:
     one = machine("n-1")
-    one.seen_at, one.probes = CANCELLED_AT - 5.0, c.SILENT_PROBES
+    one.last_report_at, one.probes = CANCELLED_AT - 5.0, c.SILENT_PROBES
     for name, value in more.items():
         setattr(one, name, value)
     return one
@@ -47,10 +47,10 @@
         (silent(), seen(), math.inf, DUE_AT, Decision.NOTHING),
         (silent(), seen(), CANCELLED_AT, DUE_AT, Decision.RETURN),
         (silent(), seen(), CANCELLED_AT, DUE_AT - 0.2, Decision.WAIT),
-        (silent(seen_at=DUE_AT - 1.0), seen(), CANCELLED_AT, DUE_AT, Decision.WAIT),
+        (silent(last_report_at=DUE_AT - 1.0), seen(), CANCELLED_AT, DUE_AT, Decision.WAIT),
         (silent(), seen(started=DUE_AT - 1.0), CANCELLED_AT, DUE_AT, Decision.WAIT),
         (silent(probes=1), seen(), CANCELLED_AT, DUE_AT, Decision.ASK),
-        (silent(probes=1, seen_at=-1.0), seen(), CANCELLED_AT, DUE_AT, Decision.RETURN),
+        (silent(probes=1, last_report_at=-1.0), seen(), CANCELLED_AT, DUE_AT, Decision.RETURN),
         (silent(), seen(kept_zones={"a"}), CANCELLED_AT, DUE_AT, Decision.KEEP_ZONE),
         (silent(), seen(sure=False), CANCELLED_AT, DUE_AT, Decision.RETURN),
         (silent(), seen(sure=False, heard_at=CANCELLED_AT - 3.0), CANCELLED_AT, DUE_AT, Decision.CUT_OFF),
@@ -80,9 +80,9 @@
     one = machine("n-1")
     cluster = cluster_with({"run-000001": 27.5}, one)
     cluster.add_job(spec_of(1, pieces=1), 3, 0.0, set(), over=True)
-    cluster.on_report(shown("n-1", 41, 5, TOKEN - 1), 38.5, beat=True)
+    cluster.on_report(shown("n-1", 41, 5, TOKEN - 1), 38.5, heartbeat=True)
     assert one.cancelled_since == 27.5
-    cluster.on_report(report(1, 6), 40.0, beat=True)
+    cluster.on_report(report(1, 6), 40.0, heartbeat=True)
     assert math.isinf(one.cancelled_since), "it has shown that nothing of it is there"
 
 
@@ -90,12 +90,12 @@
     one = machine("n-1")
     cluster = cluster_with({"run-000001": 27.5}, one)
     cluster.add_unverified_cancellation(spec_of(1, pieces=1), 1, 30.0)
-    cluster.on_report(report(1, 5, TOKEN - 1), 38.5, beat=True)
+    cluster.on_report(report(1, 5, TOKEN - 1), 38.5, heartbeat=True)
     assert cluster.cancelled_since(one, cluster.unverified_cancelled_since(39.0)) == 27.5
     assert math.isinf(cluster.unverified_cancelled_since(27.5 + CANCEL_S + 0.1)), (
         "what was cancelled so long ago is not looked for"
     )
-    cluster.on_report(report(1, 6), 40.0, beat=True)
+    cluster.on_report(report(1, 6), 40.0, heartbeat=True)
     assert math.isinf(cluster.cancelled_since(one, cluster.unverified_cancelled_since(41.0))), "it has shown our token"
 
 
@@ -105,15 +105,15 @@
     cancelled: dict[str, float] = {}
     cluster = cluster_with(cancelled, one, two)
     cluster.add_job(spec_of(1, pieces=1), 3, 0.0, set())
-    cluster.on_report(shown("n-2", 42, 1), 1.0, beat=True)
+    cluster.on_report(shown("n-2", 42, 1), 1.0, heartbeat=True)
     if first:
-        cluster.on_report(shown("n-1", 41, 1), 2.0, beat=True)
+        cluster.on_report(shown("n-1", 41, 1), 2.0, heartbeat=True)
     cancelled["run-000001"] = 4.0
     cluster.end_job("run-000001", 5.0)
     if not first:
-        cluster.on_report(shown("n-1", 41, 1), 6.0, beat=True)
+        cluster.on_report(shown("n-1", 41, 1), 6.0, heartbeat=True)
     assert one.cancelled_since == two.cancelled_since == 4.0
-    cluster.on_report(report(1, 2), 7.0, beat=True)
+    cluster.on_report(report(1, 2), 7.0, heartbeat=True)
     assert math.isinf(one.cancelled_since)
 
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -33,7 +33,7 @@
 
 
 def machine(name: str, zone: str = "a", spot: bool = False) -> Machine:
-    return Machine(name, TYPE, zone, spot, "", Status.UP, 0.0, seen_at=0.0, reached_at=0.0, beat_at=0.0)
+    return Machine(name, TYPE, zone, spot, "", Status.UP, 0.0, last_report_at=0.0, reached_at=0.0, heartbeat_at=0.0)
 
 
 def run_on(where: Machine, one: Job, task: int, since: float = 0.0) -> Attempt:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -152,7 +152,7 @@
     """Seen: 80 idle small machines kept for five minutes, since large tasks waited that fit on none of them."""
     planner = planner_of([machine("idle")], job(1, pieces=2, cores=8.0, memory_gb=64.0, loaners=True))
     idle = planner.cluster.machines["idle"]
-    idle.idle_since, idle.seen_at = 0.0, 100.0
+    idle.idle_since, idle.last_report_at = 0.0, 100.0
     planner.place_all(100.0)
     assert planner.needs and planner.idle(100.0) == [idle]
     planner.cluster.add_job(wire.convert(job(2, cores=8.0, expected_s=0.0), wire.JobSpec), 20, 100.0, set())
@@ -239,7 +239,7 @@
             spec = spec_of(900 + n, cores=rng.choice([1.0, 2.0]), expected_s=rng.choice([3.0, 60.0, 400.0]))
             run_on(rng.choice(machines), Job(spec, 1, 0.0, False), 0)
         for one in machines:
-            one.seen_at = one.reached_at = one.beat_at = 100.0
+            one.last_report_at = one.reached_at = one.heartbeat_at = 100.0
             for attempt in one.attempts.values():
                 attempt.running_at = rng.choice([None, 40.0, 99.0])
         needs = drawn_needs(rng)
@@ -269,7 +269,7 @@
     idle[0].used_image(board.spec.image, board.spec.image_gb)
     run_on(planner.cluster.machines["busy"], Job(spec_of(9, cores=8.0), 1, 0.0, False), 0)
     for one in planner.cluster.machines.values():
-        one.seen_at = one.reached_at = one.beat_at = 100.0
+        one.last_report_at = one.reached_at = one.heartbeat_at = 100.0
     planner.place_all(100.0)
     assert planner.idle(100.0) == [idle[1]], "five places are wanted, and those where the image is"
 
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -168,7 +168,7 @@
     planner = planner_of([machine(f"n-{n}", "c") for n in range(6)])
     cluster, begun = planner.cluster, list[Any]()
     for one in cluster.machines.values():
-        one.seen_at = -1.0
+        one.last_report_at = -1.0
         cluster.unverified.add(one.name)
     cluster.machines["n-0"].fence_failed = True
     duty: Any = SimpleNamespace(
