--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -313,7 +313,7 @@
 def machine_state(machine: Machine, unaccounted: bool) -> tuple[str, str]:
     """In one word, and why."""
     if machine.status is Status.LEAVING:
-        return "leaving", machine.leaves_for
+        return "leaving", machine.release_reason
     if machine.status is not Status.UP:
         return machine.status.value, ""
     if unaccounted:
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -195,8 +195,8 @@
         """What the leader tells all other controllers, so that they need not ask."""
         now, cluster = self._clock(), leader.cluster
         return PeerMessage(
-            self._settings.node, leader.term.token, relay=sorted(cluster.relayed(now)),
-            cancelled=cluster.cancelled_on(now), witnesses=cluster.latest_reporters(),
+            self._settings.node, leader.term.token, relay=sorted(cluster.machines_to_relay(now)),
+            cancelled=cluster.machines_with_cancelled_tasks(now), witnesses=cluster.latest_reporters(),
         )  # fmt: skip
 
     async def _bar(self, leader: Leader, peer: Peer, message: PeerMessage) -> None:
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -110,7 +110,7 @@
             if machine.status is Status.BOOTING and machine.zone not in kept_zones and self._overdue(machine, now):
                 cluster.release(machine, "never came up")
             if machine.lost_answers >= c.UNHEARD_MOST or any(not a.wanted for a in machine.attempts.values()):
-                cluster.touched.add(machine)
+                cluster.machines_to_command.add(machine)
         if sure:
             self._give_up([machine for machine in quiet if machine.zone not in kept_zones], many, now)
         self._return_cancelled(quiet, kept_zones, sure, now)
@@ -122,7 +122,7 @@
             cluster.dirty = True
 
     def _overdue(self, machine: Machine, now: float) -> bool:
-        return now - machine.born > self._duty.cluster.boots.patience_s(machine.type)
+        return now - machine.created_at > self._duty.cluster.boots.patience_s(machine.type)
 
     def _give_up(self, quiet: list[Machine], many: bool, now: float) -> None:
         """Of those that were not heard of for long."""
@@ -209,9 +209,9 @@
 
     def _log_kept(self, machine: Machine, since: float, decision: Decision, now: float) -> None:
         """Say what is decided of a machine that may hold a cancelled task: once, and when that changes."""
-        if decision is Decision.NOTHING or decision.value == machine.kept_because:
+        if decision is Decision.NOTHING or decision.value == machine.logged_decision:
             return
-        machine.kept_because = decision.value
+        machine.logged_decision = decision.value
         log.info(
             "%s may hold a task cancelled %.1f s ago, is silent for %.1f s: %s",
             machine.name, now - since, now - machine.last_report_at, decision.value, extra={"machine": machine.name},
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -16,7 +16,7 @@
 from pepperlatch.controller.leadership import keeps_alive_until
 from pepperlatch.controller.owner import Owner, Reply
 from pepperlatch.controller.store import Replica
-from pepperlatch.policy.cluster import BEGAN
+from pepperlatch.policy.cluster import PROCESS_AGE
 from pepperlatch.policy.model import split_task
 from pepperlatch.policy.routes import Routes
 from pepperlatch.protocol import wire
@@ -216,7 +216,7 @@
         oldest = now - 2 * self._lease_s
         self._stood_in = {name: at for name, at in self._stood_in.items() if at > oldest}
         ages = {name: round(now - at, 3) for name, at in self._stood_in.items()}
-        return {BEGAN: round(now - self._began_at, 3), **ages}
+        return {PROCESS_AGE: round(now - self._began_at, 3), **ages}
 
 
 def _response(answer: HeartbeatAnswer) -> Response:
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -138,7 +138,7 @@
             spec = self.replica.jobs[job_id].record.spec
             if spec is not None:
                 cluster.add_unverified_cancellation(spec, spec.tasks - len(self.replica.done_tasks(job_id)), now)
-        cluster.remember()
+        cluster.load_image_memory()
         for pair in pairs:
             if pair.key.startswith(store.HIRE):
                 self._rentals.repeat_hire(pair.key[len(store.HIRE) :], wire.convert(pair.value, store.HireRecord))
@@ -198,7 +198,7 @@
         since = self.clock() - max(0.0, self.wall() - chain.ready_at(job_id, entry.record.at))
         newest = max([entry.version, *(self.replica.jobs[name].version for name in chain.needs.get(job_id, ()))])
         job = self.cluster.add_job(spec, entry.version, since, self.replica.done_tasks(job_id))
-        job.old = newest <= self.term.token
+        job.from_earlier_term = newest <= self.term.token
         self._stand(job_id)
         self.cluster.listener.job(job_id, "ready", self.clock())
         log.info(
@@ -353,12 +353,12 @@
         return answer
 
     def _send_direct(self, now: float) -> None:
-        touched, self.cluster.touched = self.cluster.touched, set()
+        touched, self.cluster.machines_to_command = self.cluster.machines_to_command, set()
         for machine in sorted(touched, key=lambda m: m.name):  # the same inputs give the same commands
             if machine.status is not Status.UP or machine.name in self.cluster.unverified:
                 continue
             if machine.sending or now < machine.send_after:
-                self.cluster.touched.add(machine)
+                self.cluster.machines_to_command.add(machine)
                 continue
             orders, launched = self.cluster.orders_direct(machine, now)
             if orders or machine.lost_answers >= c.UNHEARD_MOST:  # without orders it tells whether it hears us again
@@ -388,4 +388,4 @@
         if report is not None:
             self._direct_report(report, sent)
         self.cluster.direct_result(machine, launched, executed, now)
-        self.cluster.touched.add(machine)
+        self.cluster.machines_to_command.add(machine)
--- a/pepperlatch/controller/parts.py
+++ b/pepperlatch/controller/parts.py
@@ -19,7 +19,7 @@
 from pepperlatch.controller.leadership import Term
 from pepperlatch.controller.store import Watched
 from pepperlatch.controller.users import Progress, Users
-from pepperlatch.policy.events import Listener, Nobody
+from pepperlatch.policy.events import Listener, NullListener
 from pepperlatch.policy.model import Attempt, Job, Machine
 from pepperlatch.protocol.http.client import Network
 from pepperlatch.protocol.http.server import Request, Response
@@ -111,7 +111,7 @@
                 continue
             if found is not None:
                 listeners.append((part.name, found))
-        return Guarded(listeners) if listeners else Nobody()
+        return Guarded(listeners) if listeners else NullListener()
 
     async def _guarded(self, part: Part, request: Request) -> Response:
         try:
--- a/pepperlatch/controller/records.py
+++ b/pepperlatch/controller/records.py
@@ -37,13 +37,13 @@
         self._on_recorded(name)
 
     def persist(self, now: float) -> None:
-        if not self._duty.cluster.unsaved:
+        if not self._duty.cluster.unsaved_jobs:
             return
         partly = now - self._persist_at >= c.PERSIST_GAP_S
-        for job_id in list(self._duty.cluster.unsaved):
+        for job_id in list(self._duty.cluster.unsaved_jobs):
             job = self._duty.cluster.jobs.get(job_id)
             if job is None or job.over:
-                self._duty.cluster.unsaved.discard(job_id)
+                self._duty.cluster.unsaved_jobs.discard(job_id)
             elif job.finishing:
                 continue
             elif len(job.done) == job.spec.tasks:
@@ -65,7 +65,7 @@
             job.finishing = False
 
         self._duty.writer.add(Write(changes, done, [wire.when(store.JOB + job_id, job.version)]))
-        self._duty.cluster.unsaved.discard(job_id)
+        self._duty.cluster.unsaved_jobs.discard(job_id)
 
     def tidy(self, job_id: str) -> None:
         """What was kept of a job that is over goes in portions, after its final state is stored and never before."""
@@ -101,6 +101,6 @@
         job.saved |= tasks
         job.done |= tasks
         if len(job.saved) < len(job.done) or len(job.done) == job.spec.tasks:
-            self._duty.cluster.unsaved.add(job.spec.id)
+            self._duty.cluster.unsaved_jobs.add(job.spec.id)
         else:
-            self._duty.cluster.unsaved.discard(job.spec.id)
+            self._duty.cluster.unsaved_jobs.discard(job.spec.id)
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -89,7 +89,7 @@
             known = self._duty.cluster.machines.get(name)
             if (
                 kind is None
-                or name in self._duty.cluster.gone
+                or name in self._duty.cluster.removed_machines
                 or (known is not None and known.status is not Status.BOOTING)
             ):
                 continue
@@ -153,7 +153,7 @@
         for item in listed:
             machine = self._duty.cluster.machines.get(item.name)
             kind = self._duty.cluster.types.get(item.type)
-            if machine is None and kind is not None and item.name not in self._duty.cluster.gone:
+            if machine is None and kind is not None and item.name not in self._duty.cluster.removed_machines:
                 log.info("unexpected machine %s in the list", item.name)
                 machine = Machine(
                     item.name, kind, item.zone, item.spot, item.addr or "", Status.BOOTING, now - item.age_s
@@ -163,7 +163,7 @@
             if machine is not None:
                 machine.listed = True
                 if machine.status is Status.BOOTING:  # a repeated hire, or a report, tells nothing of its age
-                    machine.born = min(machine.born, now - item.age_s)
+                    machine.created_at = min(machine.created_at, now - item.age_s)
                 if item.state == wire.FAILED:
                     self._duty.cluster.release(machine, "failed")
         lag = self._duty.settings.params.cloud.list_lag_s * c.LIST_LAG_TIMES + c.CLOUD_LIST_EVERY_S
@@ -171,7 +171,7 @@
             if (
                 machine.name not in names
                 and machine.status is Status.BOOTING
-                and (machine.listed or now - machine.born > 2 * lag)
+                and (machine.listed or now - machine.created_at > 2 * lag)
             ):
                 self._duty.cluster.release(machine, "not listed any more")
 
@@ -197,7 +197,7 @@
                 await self._release(urgent)
 
     async def _release(self, names: list[str]) -> None:
-        self._duty.cluster.releasing.update(names)
+        self._duty.cluster.release_requested.update(names)
         try:
             await self._cloud.release(names)
             self._duty.owner.post(lambda: self._released(names))
--- a/pepperlatch/policy/cancelled_tasks.py
+++ b/pepperlatch/policy/cancelled_tasks.py
@@ -50,7 +50,7 @@
             extra={"machine": machine.name},
         )  # fmt: skip
         machine.cancelled_since = math.inf
-        machine.kept_because = ""
+        machine.logged_decision = ""
 
     def add_unverified_cancellation(self, spec: JobSpec, unseen: int, now: float) -> None:
         """The job was cancelled; so many of its tasks may yet be on machines that nobody can ask."""
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -1,7 +1,7 @@
 """The leader's picture of jobs, tasks and machines, and how reports and results change it.
 
-No I/O and no clock: every method is told the time. What has to happen outside is left in `touched`,
-`unsaved`, `to_record` and `to_release` for the daemon to carry out.
+No I/O and no clock: every method is told the time. What has to happen outside is left in `machines_to_command`,
+`unsaved_jobs`, `to_record` and `to_release` for the daemon to carry out.
 """
 
 import heapq
@@ -18,7 +18,7 @@
 from pepperlatch.policy.cancellations import CancelledOn
 from pepperlatch.policy.cancelled_tasks import CancelledSince, CancelledTasks
 from pepperlatch.policy.delegation import DelegationAnswer, Delegations, DelegationStatement
-from pepperlatch.policy.events import Listener, Nobody
+from pepperlatch.policy.events import Listener, NullListener
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.model import Attempt, Job, Machine, Phase, Status, split_task
 from pepperlatch.policy.quota import Quota, Use
@@ -30,7 +30,7 @@
 log = logging.getLogger(__name__)
 Key = tuple[str, int]
 SILENT, SILENT_CANCELLED = "silent", "silent, perhaps with a cancelled task"
-BEGAN = ""  # in the answer of a node that may stand in: its process's age, among ages under machines' names
+PROCESS_AGE = ""  # in the answer of a node that may stand in: its process's age, among ages under machines' names
 SpecOf = Callable[[str], JobSpec | None]
 
 
@@ -63,16 +63,16 @@
         self.types: dict[str, MachineType] = {}
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
-        self.gone: dict[str, None] = {}
+        self.removed_machines: dict[str, None] = {}
         self.unknown_tasks: dict[str, dict[Key, TaskReport]] = {}
         self.quota = Quota({team.name: team for team in params.teams})
         self.unverified: set[str] = set()
         self.cancelled = CancelledTasks(lambda job_id: self._cancelled_since(job_id), params.workers.cancel_s)
-        self.touched: set[Machine] = set()
-        self.unsaved: set[str] = set()
+        self.machines_to_command: set[Machine] = set()
+        self.unsaved_jobs: set[str] = set()
         self.to_record: set[Machine] = set()
         self.to_release: set[str] = set()
-        self.releasing: set[str] = set()  # asked for; the cloud may carry that out at any time
+        self.release_requested: set[str] = set()  # asked for; the cloud may carry that out at any time
         self.dirty = True
         self.higher_token = False
         self._next = 0
@@ -82,7 +82,7 @@
         self.delegations = Delegations()
         self.images = ImageMemory()
         self.boots = Boots()
-        self.listener: Listener = Nobody()
+        self.listener: Listener = NullListener()
 
     # --- jobs -------------------------------------------------------------------------------------
 
@@ -91,7 +91,7 @@
         if not over:
             job.waiting = deque(task for task in range(spec.tasks) if task not in done)
             if not job.waiting:
-                self.unsaved.add(spec.id)
+                self.unsaved_jobs.add(spec.id)
         job.reason_since = since
         self.jobs[spec.id] = job
         self.dirty = True
@@ -102,13 +102,13 @@
         job = self.jobs.get(job_id)
         if job is None:
             return
-        if job.old and not job.over and not done:
+        if job.from_earlier_term and not job.over and not done:
             self.add_unverified_cancellation(job.spec, job.spec.tasks - len(job.done) - len(job.live), now)
         job.over = True
         if not done:
             self._stray_cancelled(job_id, now)
         job.waiting.clear()
-        self.unsaved.discard(job_id)
+        self.unsaved_jobs.discard(job_id)
         for attempt in list(job.live.values()):
             self._stop_over(attempt, now, cancelled=not done)
         if not job.live:
@@ -164,7 +164,7 @@
         up = (m for m in self.machines.values() if m.status is Status.UP and m.last_report_at >= 0)
         return [m.addr for m in heapq.nlargest(c.WITNESS_ASKS, up, key=lambda m: (m.last_report_at, m.name))]
 
-    def cancelled_on(self, now: float) -> list[CancelledOn]:
+    def machines_with_cancelled_tasks(self, now: float) -> list[CancelledOn]:
         """The machines that may hold a task of a cancelled job; those that were not heard of for longest first."""
         unverified_cancelled_since = self.unverified_cancelled_since(now)
         found = [(m, self.cancelled_since(m, unverified_cancelled_since)) for m in self.machines.values() if m.addr]
@@ -202,7 +202,7 @@
         job.live[attempt.task] = attempt
         machine.add(attempt)
         self.quota.of(job.spec.team).add(job.spec, 1)
-        self.touched.add(machine)
+        self.machines_to_command.add(machine)
 
     def stop(self, attempt: Attempt, grace_s: float, why: str) -> None:
         attempt.stopped_for = attempt.stopped_for or why
@@ -211,7 +211,7 @@
             attempt.kill_sent = -1.0
         if attempt.phase is Phase.PLANNED:
             self._lose(attempt, attempt.planned_at, why)
-        self.touched.add(attempt.machine)
+        self.machines_to_command.add(attempt.machine)
 
     def undo(self, attempt: Attempt) -> None:
         """Take back a placement that was never sent."""
@@ -288,7 +288,7 @@
         if report.token > self.token:
             self.higher_token = True
             return None
-        if report.machine in self.gone:
+        if report.machine in self.removed_machines:
             return None
         if report.machine not in self.machines and report.tasks and report.token < self.token:
             return None  # recorded before its first launch, until it is gone: this was said before it was returned
@@ -316,7 +316,7 @@
             machine.heartbeat_at = now
         if report.notice_s is not None:
             self._noticed(machine, now + report.notice_s)
-        if machine.leaves_silent and machine.name not in self.releasing:
+        if machine.leaves_silent and machine.name not in self.release_requested:
             log.info("%s is heard of again", machine.name)
             machine.status, machine.leaves_silent, machine.return_needs_lease = Status.UP, False, True
             self.to_release.discard(machine.name)
@@ -391,11 +391,11 @@
         if machine is not None and machine.status is Status.JOINING:
             machine.status = Status.UP
             machine.up_at = now
-            self.boots.came_up(machine.type, now - machine.born)
+            self.boots.came_up(machine.type, now - machine.created_at)
             if not machine.attempts:
                 machine.idle_since = now
             self.dirty = True
-            log.info("machine %s up after %.1f s", name, now - machine.born, extra={"machine": name})
+            log.info("machine %s up after %.1f s", name, now - machine.created_at, extra={"machine": name})
             self.listener.machine(machine, "up", "", now)
 
     def _tasks(self, machine: Machine, report: Report, now: float, heartbeat: bool) -> None:
@@ -421,9 +421,9 @@
                 self._absent(machine, key, attempt, report.seq, heartbeat, now)
 
     def _progress(self, attempt: Attempt, state: TaskState, now: float) -> None:
-        if attempt.phase is not Phase.THERE:
-            attempt.phase = Phase.THERE
-            self.touched.add(attempt.machine)
+        if attempt.phase is not Phase.CONFIRMED:
+            attempt.phase = Phase.CONFIRMED
+            self.machines_to_command.add(attempt.machine)
         if attempt.state is not state:
             attempt.state = state
             if state in (TaskState.RUNNING, TaskState.WAITING) and attempt.running_at is None:
@@ -440,7 +440,7 @@
         machine.used_image(spec.image, spec.image_gb)
         self.images.used(machine.name, spec.image, spec.image_gb)
 
-    def remember(self) -> None:
+    def load_image_memory(self) -> None:
         """What an earlier leader knew of the machines' images; a guess, until tasks are seen running."""
         for _, machine, image, gb in list(self.images.on(self.machines)):
             self.machines[machine].used_image(image, gb)
@@ -450,7 +450,7 @@
 
         A direct launch may still be in flight, for minutes if a cut holds it: it stays "possibly there".
         """
-        if attempt.phase is Phase.THERE and key not in machine.sticky:
+        if attempt.phase is Phase.CONFIRMED and key not in machine.sticky:
             self._lose(attempt, now, "not on its machine any more")
         elif attempt.phase is Phase.SENT and heartbeat and 0 <= attempt.sent_seq < seq and key not in machine.sticky:
             attempt.phase = Phase.PLANNED
@@ -458,7 +458,7 @@
                 self._lose(attempt, now, attempt.stopped_for)
             elif machine.lost_answers >= c.UNHEARD_MOST:
                 self._lose(attempt, now, "its machine does not hear us")
-            self.touched.add(machine)
+            self.machines_to_command.add(machine)
 
     def _adopt(self, machine: Machine, task: TaskReport, now: float) -> Attempt | None:
         """A running task that this leader has not started: an earlier leader did.
@@ -482,7 +482,7 @@
             self.stop(known, 0.0, "started anew elsewhere since")
         else:
             self.cancelled.seen(job.spec.id)
-        attempt = Attempt(job, parts[1], task.attempt, machine, now, Phase.THERE)
+        attempt = Attempt(job, parts[1], task.attempt, machine, now, Phase.CONFIRMED)
         self._register(attempt)
         if parts[1] in job.waiting:
             job.waiting.remove(parts[1])
@@ -517,7 +517,7 @@
         other = job.live.get(task)
         if other is not None:
             self.stop(other, 0.0, "done already")
-        self.unsaved.add(job.spec.id)
+        self.unsaved_jobs.add(job.spec.id)
         self.dirty = True
         if attempt is not None and attempt.running_at is not None:
             attempt.machine.failed_tasks.clear()
@@ -548,7 +548,7 @@
         elif task.why in wire.TASK_BLOCKERS:
             job.not_before = now + c.JOB_BACKOFF_S
 
-    def relayed(self, now: float) -> list[str]:
+    def machines_to_relay(self, now: float) -> list[str]:
         """Machines that only other controllers reach: they are to pass on their reports at once."""
         return [m.name for m in self.machines.values() if now < m.relay_until]
 
@@ -566,14 +566,14 @@
         """The cloud has confirmed that the machine is no more."""
         machine = self.machines.pop(name, None)
         self.delegations.forget(name)
-        self.gone[name] = None
+        self.removed_machines[name] = None
         self._accounted(name, now)
         self.to_release.discard(name)
-        self.releasing.discard(name)
+        self.release_requested.discard(name)
         if machine is not None:
-            self._all_gone(machine, now, f"machine returned: {machine.leaves_for}")
-            self.listener.machine(machine, "gone", machine.leaves_for, now)
-            self.touched.discard(machine)
+            self._all_gone(machine, now, f"machine returned: {machine.release_reason}")
+            self.listener.machine(machine, "gone", machine.release_reason, now)
+            self.machines_to_command.discard(machine)
             self.to_record.discard(machine)
         self.dirty = True
 
@@ -582,7 +582,7 @@
             log.info("return %s: %s", machine.name, why, extra={"machine": machine.name})
             machine.status = Status.LEAVING
             machine.leaves_silent = why in (SILENT, SILENT_CANCELLED)
-            machine.leaves_for = why
+            machine.release_reason = why
             self.to_record.discard(machine)
             self.to_release.add(machine.name)
 
@@ -620,7 +620,7 @@
             and machine.offered is None
             and machine.reclaim_at is None
             and math.isinf(machine.cancelled_since)
-            and all(attempt.phase is Phase.THERE and attempt.wanted for attempt in machine.attempts.values())
+            and all(attempt.phase is Phase.CONFIRMED and attempt.wanted for attempt in machine.attempts.values())
         )
 
     def delegate(self, follower: str, statement: DelegationStatement, until: float, now: float) -> DelegationAnswer:
@@ -657,11 +657,11 @@
     def on_promise(self, peer: str, stood_in: dict[str, float], until: float, now: float) -> None:
         """The other controller will not stand in until then; for whom it did, and how long ago, it tells.
 
-        It remembers only what its present process did: that began so long ago as stands under BEGAN. Without it (an
-        earlier version) the promise counts for nothing, and only time does.
+        It remembers only what its present process did: that began so long ago as stands under PROCESS_AGE. Without it
+        (an earlier version) the promise counts for nothing, and only time does.
         """
         self.peer_answered_at[peer] = now
-        other, began_s = self.stand_ins.get(peer), stood_in.get(BEGAN)
+        other, began_s = self.stand_ins.get(peer), stood_in.get(PROCESS_AGE)
         if other is not None and began_s is not None:
             other.barred_until = until
             other.began_at = now - began_s
@@ -687,7 +687,7 @@
         orders: list[dict[str, Any]] = []
         offered = set()
         for key, attempt in list(machine.attempts.items()):
-            absent = attempt.phase is not Phase.THERE
+            absent = attempt.phase is not Phase.CONFIRMED
             more = self._order(attempt, machine.seq, now)
             orders += more
             if absent and more:
@@ -715,7 +715,7 @@
     def _order(self, attempt: Attempt, seq: int, now: float) -> list[dict[str, Any]]:
         heartbeat = seq >= 0
         name, number = attempt.name, attempt.number
-        if attempt.phase is Phase.PLANNED or (attempt.phase is Phase.UNSURE and heartbeat):
+        if attempt.phase is Phase.PLANNED or (attempt.phase is Phase.UNCONFIRMED and heartbeat):
             orders = [wire.launch(name, number)]
             if attempt.phase is Phase.PLANNED:
                 attempt.phase = Phase.SENT
@@ -723,7 +723,7 @@
             if not attempt.wanted:  # holding it, ended, is what makes a late launch harmless
                 orders.append(wire.kill(name, number, 0.0))
             return orders
-        if not attempt.wanted and attempt.phase is Phase.THERE and now - attempt.kill_sent >= c.KILL_REPEAT_S:
+        if not attempt.wanted and attempt.phase is Phase.CONFIRMED and now - attempt.kill_sent >= c.KILL_REPEAT_S:
             grace = attempt.kill_grace or 0.0
             attempt.kill_sent = now
             return [wire.kill(name, number, grace)]
@@ -749,7 +749,7 @@
             if machine.attempts.get(key) is not attempt or attempt.phase is not Phase.SENT:
                 continue
             if executed is None:
-                attempt.phase = Phase.UNSURE
+                attempt.phase = Phase.UNCONFIRMED
                 machine.sticky.add(key)
             else:
                 attempt.phase = Phase.PLANNED
@@ -773,7 +773,7 @@
         hidden: dict[str, Use] = {}
         if self.rebuilding():
             for job in self.jobs.values():
-                if job.old and not job.over:
+                if job.from_earlier_term and not job.over:
                     unseen = job.spec.tasks - len(job.done) - len(job.live)
                     hidden.setdefault(job.spec.team, Use()).add(job.spec, unseen)
             for gone in self.cancelled.unverified.values():
--- a/pepperlatch/policy/draining.py
+++ b/pepperlatch/policy/draining.py
@@ -30,7 +30,7 @@
 
 def stays(attempt: Attempt, now: float, age_s: float, lost_s: float) -> str:
     """Why a task is not moved; empty if it may be."""
-    if attempt.phase is not Phase.THERE or not attempt.wanted or attempt.state is not TaskState.RUNNING:
+    if attempt.phase is not Phase.CONFIRMED or not attempt.wanted or attempt.state is not TaskState.RUNNING:
         return "is starting or ending"
     if attempt.running_at is None or now - attempt.running_at >= age_s:
         return f"has run for over {age_s:g} s"
--- a/pepperlatch/policy/events.py
+++ b/pepperlatch/policy/events.py
@@ -31,7 +31,7 @@
         """Something of the whole service."""
 
 
-class Nobody:
+class NullListener:
     """Hears nothing."""
 
     def explained(self, job: Job, now: float) -> None: ...
--- a/pepperlatch/policy/model.py
+++ b/pepperlatch/policy/model.py
@@ -16,8 +16,8 @@
 
     PLANNED = "planned"  # not sent, or surely not carried out
     SENT = "sent"  # in flight to the worker, by command or in a report's answer
-    UNSURE = "unsure"  # a direct command without an answer: may be carried out minutes later
-    THERE = "there"  # a report has shown it
+    UNCONFIRMED = "unsure"  # a direct command without an answer: may be carried out minutes later
+    CONFIRMED = "there"  # a report has shown it
 
 
 class Status(Enum):
@@ -56,7 +56,7 @@
     spec: JobSpec
     version: int
     since: float  # when it was submitted, or the last job that it needs was done
-    old: bool  # older than the term: an earlier leader may have started its tasks
+    from_earlier_term: bool  # older than the term: an earlier leader may have started its tasks
     done: set[int] = field(default_factory=set)
     saved: set[int] = field(default_factory=set)  # finished tasks that the state service holds
     live: dict[int, Attempt] = field(default_factory=dict)
@@ -64,7 +64,7 @@
     failed_on: set[str] = field(default_factory=set)
     pause_s: float = 0.0
     not_before: float = 0.0
-    prefer: dict[int, "Machine"] = field(default_factory=dict)  # where a drain wants a task to go
+    drain_targets: dict[int, "Machine"] = field(default_factory=dict)  # where a drain wants a task to go
     idle_since: float = -math.inf  # it has run nothing since then: its last task ended, or it became known
     reason: Reason = PLACING
     reason_since: float = 0.0
@@ -109,7 +109,7 @@
     spot: bool
     addr: str
     status: Status
-    born: float
+    created_at: float
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_gb: float = 0.0
@@ -127,7 +127,7 @@
     reached_at: float = -1.0  # last report that came with a way back: a beat, or an answer to a question of ours
     heartbeat_at: float = -1.0  # last report that waited for an answer of ours; at first when the leader took over
     cancelled_since: float = math.inf  # a job that may have a task here was cancelled no earlier; infinite: none was
-    kept_because: str = ""  # what was decided last if it may hold a cancelled task, as logged
+    logged_decision: str = ""  # what was decided last if it may hold a cancelled task, as logged
     return_needs_lease: bool = True  # that of the leader's key; not if it may hold a cancelled task and time is short
     unexpected: bool = False  # met by a report; neither recorded nor rented
     fenced: bool = False  # a report has shown our token: no earlier leader commands or answers it any more
@@ -141,7 +141,7 @@
     idle_since: float | None = None
     reclaim_at: float | None = None  # when the cloud takes it
     leaves_silent: bool = False  # returned only because it was not heard of
-    leaves_for: str = ""  # why it is being returned, in a few words
+    release_reason: str = ""  # why it is being returned, in a few words
     draining: str | None = None
     quarantined: bool = False
     failed_tasks: set[str] = field(default_factory=set)
--- a/pepperlatch/policy/placement.py
+++ b/pepperlatch/policy/placement.py
@@ -69,11 +69,11 @@
     if spec.kind is not Kind.SERVICE:
         size = machine.type.cpus + machine.type.gpus
         empties = kind and not machine.spot and not machine.kept()
-        return (is_slow(machine), late, kind, empties, size, image, machine.free_cpus, machine.born)
+        return (is_slow(machine), late, kind, empties, size, image, machine.free_cpus, machine.created_at)
     home = machine.holds_replicas()
     pins = machine.price() if not home else 0.0
     if image == 0:
-        return (is_slow(machine), image, pins, used[machine.name], kind, machine.free_cpus, machine.born)
+        return (is_slow(machine), image, pins, used[machine.name], kind, machine.free_cpus, machine.created_at)
     wait_s = round(fetch_s(machine, spec) * (1 + len(fetches - {spec.image})), 1)
     last = not machine.has_room(spec, 2)
     return (
@@ -83,7 +83,7 @@
         used[machine.name] + (not home),
         pins + last * machine.price(),
         machine.free_cpus,
-        machine.born,
+        machine.created_at,
     )
 
 
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -116,7 +116,7 @@
                 machines = self._hold_back(job, machines, every, now)
         dealt_with = 0
         for job in jobs:
-            if rebuilding and job.old:
+            if rebuilding and job.from_earlier_term:
                 cluster.explain(job, rebuilt, now)
             elif now < job.not_before:
                 cluster.explain(job, self._pausing(job), now)
@@ -256,7 +256,7 @@
 
     def _preferred(self, job: Job, candidates: Candidates, machines: list[Machine]) -> Machine | None:
         """Where a drain promised the next task a place."""
-        target = job.prefer.pop(job.waiting[0], None)
+        target = job.drain_targets.pop(job.waiting[0], None)
         return target if target is not None and target in machines and candidates.fits(target) else None
 
     def _place_gang(self, job: Job, machines: list[Machine], now: float) -> None:
@@ -347,7 +347,7 @@
     def _may_stop(self, victim: Attempt, job: Job, inside: set[str]) -> bool:
         """Only what would also be placed after the job: else it takes the room back, again and again."""
         other, guaranteed = victim.job.spec, job.spec.id in inside
-        if not victim.wanted or victim.phase is not Phase.THERE or other.kind is not Kind.ARRAY:
+        if not victim.wanted or victim.phase is not Phase.CONFIRMED or other.kind is not Kind.ARRAY:
             return False
         if self._place_key(victim.job) <= self._place_key(job):
             return False
@@ -410,7 +410,7 @@
             machine.zone not in self.dark
             and machine.status is Status.BOOTING
             and not machine.unexpected
-            and now - machine.born < self.cluster.boots.expected_s(machine.type)
+            and now - machine.created_at < self.cluster.boots.expected_s(machine.type)
         )
 
     def rent(self, now: float) -> list[Offer]:
@@ -454,7 +454,7 @@
     def _first_up(self, now: float) -> float | None:
         """About when the first of the machines that are booting will be up."""
         booting = [m for m in self.cluster.machines.values() if m.status is Status.BOOTING and self._coming(m, now)]
-        return min((max(now, m.born + m.type.boot_s) for m in booting), default=None)
+        return min((max(now, m.created_at + m.type.boot_s) for m in booting), default=None)
 
     def _spare_need(self, now: float) -> list[Need]:
         """Room for replicas that is neither there nor booting; only on machines that a replica would not pin."""
@@ -546,7 +546,7 @@
         """A spot machine is kept as much longer as it is cheaper: for the same money it may save a boot."""
         since = machine.idle_since if machine.idle_since is not None else now
         idle_s = self.tuning["idle_s"] * machine.type.price / max(machine.price(), EPS)
-        return now - since >= idle_s and now - machine.born >= c.MIN_CHARGE_S - c.CHARGE_SLACK_S
+        return now - since >= idle_s and now - machine.created_at >= c.MIN_CHARGE_S - c.CHARGE_SLACK_S
 
     # --- draining ---------------------------------------------------------------------------------
 
@@ -572,7 +572,7 @@
         self.cluster.to_record.add(choice.machine)
         self.cluster.listener.machine(choice.machine, "draining", f"{len(choice.moves)} tasks move", now)
         for attempt, target in choice.moves:
-            attempt.job.prefer[attempt.task] = target
+            attempt.job.drain_targets[attempt.task] = target
             self.cluster.stop(attempt, attempt.job.spec.save_s, "its machine is drained")
 
     def _drain_cancelled(self, machines: list[Machine], now: float) -> None:
--- a/tests/acceptance/test_back_at_once.py
+++ b/tests/acceptance/test_back_at_once.py
@@ -257,7 +257,7 @@
     cluster = cluster_of(one)
     cluster.on_report(report(1, 1), 1.0, heartbeat=True)
     held = cluster.place(cluster.add_job(spec_of(1, pieces=1), 3, 0.0, set()), 0, one, 1.0)
-    held.sent_seq, held.phase = -1, held.phase.THERE
+    held.sent_seq, held.phase = -1, held.phase.CONFIRMED
     row = {"piece": held.name, "try": held.number, "status": "ended", "cause": Cause.STOPPED.value}
     cluster.on_report(report(1, 2, pieces=[row]), 2.0, heartbeat=True)
 
--- a/tests/cuts/test_sessions.py
+++ b/tests/cuts/test_sessions.py
@@ -9,7 +9,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.policy import placement
-from pepperlatch.policy.cluster import BEGAN, Cluster
+from pepperlatch.policy.cluster import PROCESS_AGE, Cluster
 from pepperlatch.policy.model import Machine, Phase, Status
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.wire import Report
@@ -147,11 +147,11 @@
     cluster.on_report(report(1, 5), 1.0, heartbeat=True)
     cluster.answered_peer("perch-1", 1.0)
     over = 1.1 + LEASE_S + SLACK_S
-    cluster.on_promise("perch-1", {BEGAN: 0.5}, over + 2, over)
+    cluster.on_promise("perch-1", {PROCESS_AGE: 0.5}, over + 2, over)
     assert not cluster.lease_over(one, over), "the process before may have answered it half a second ago"
     cluster.on_promise("perch-1", {}, over + 2, over)
     assert not cluster.lease_over(one, over), "an earlier version does not say how old its process is"
-    cluster.on_promise("perch-1", {BEGAN: 60.0}, over + 2, over)
+    cluster.on_promise("perch-1", {PROCESS_AGE: 60.0}, over + 2, over)
     assert cluster.lease_over(one, over)
 
 
--- a/tests/meetings/test_moments.py
+++ b/tests/meetings/test_moments.py
@@ -31,11 +31,11 @@
         leader = world.nodes[world.leader()].leader
         assert leader is not None
         booting = leader.cluster.machines[hidden.name]
-        booting.born = leader.clock()  # as after a repeated hire
+        booting.created_at = leader.clock()  # as after a repeated hire
         listed = [item for item in await leader._rentals._cloud.machines() if item.name == hidden.name]
         assert isinstance(leader._rentals, Rentals)
         leader._rentals._on_list(listed)
-        assert booting.born <= leader.clock() - listed[0].age_s
+        assert booting.created_at <= leader.clock() - listed[0].age_s
 
     story(tell)
 
--- a/tests/meetings/test_other_meetings.py
+++ b/tests/meetings/test_other_meetings.py
@@ -93,7 +93,7 @@
         assert cluster.orders_for_heartbeat(one, True, float(seq)), "offered again"
     assert one.lost_answers == c.UNHEARD_MOST - 1 and attempt.phase is Phase.SENT
     cluster.on_report(report(1, 9, pieces=shown), 9.0, heartbeat=True)
-    assert (one.lost_answers, attempt.phase) == (0, Phase.THERE)
+    assert (one.lost_answers, attempt.phase) == (0, Phase.CONFIRMED)
 
 
 # --- transactions that are carried out late ---------------------------------------------------------
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -237,7 +237,7 @@
         leader = world.nodes[world.leader()].leader
         assert leader is not None
         assert leader.cluster.jobs["run-000002"].since == pytest.approx(ready, abs=1.0)
-        assert leader.cluster.jobs["run-000002"].old
+        assert leader.cluster.jobs["run-000002"].from_earlier_term
 
     story(tell)
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -37,7 +37,7 @@
 
 
 def run_on(where: Machine, one: Job, task: int, since: float = 0.0) -> Attempt:
-    attempt = Attempt(one, task, task + 1, where, since, Phase.THERE, wire.TaskState.RUNNING, since)
+    attempt = Attempt(one, task, task + 1, where, since, Phase.CONFIRMED, wire.TaskState.RUNNING, since)
     one.live[task] = attempt
     where.add(attempt)
     return attempt
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -9,12 +9,12 @@
 from pepperlatch import features
 from pepperlatch.controller.leadership import Term
 from pepperlatch.controller.parts import Parts
-from pepperlatch.policy.events import Nobody
+from pepperlatch.policy.events import NullListener
 from pepperlatch.protocol.http.server import Request, Response
 from tests.fakes import World, job, story
 
 
-class Listening(Nobody):
+class Listening(NullListener):
     """Raises when a task starts, having heard of its job."""
 
     def __init__(self, heard: list[str]) -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -338,7 +338,7 @@
         await world.until(lambda: next_leader in world.nodes and world.nodes[next_leader].leader is not None, 6)
         leader = world.nodes[next_leader].leader
         await world.until(lambda: leader is not None and leader.ready and not leader.cluster.unverified, 2)
-        assert leader is not None and far in leader.cluster.relayed(trio.current_time())
+        assert leader is not None and far in leader.cluster.machines_to_relay(trio.current_time())
 
     story(tell)
 
