--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -13,7 +13,7 @@
 from pepperlatch.constants import zones as z
 from pepperlatch.controller.duty import Duty
 from pepperlatch.controller.peers import Peers
-from pepperlatch.policy.cancellations import Decision, Seen, decide
+from pepperlatch.policy.cancellations import Decision, LeaderView, decide
 from pepperlatch.policy.cluster import SILENT, SILENT_CANCELLED
 from pepperlatch.policy.model import Machine, Status
 from pepperlatch.policy.zones import Seen as ZoneSeen
@@ -122,7 +122,7 @@
             cluster.dirty = True
 
     def _overdue(self, machine: Machine, now: float) -> bool:
-        return now - machine.created_at > self._duty.cluster.boots.patience_s(machine.type)
+        return now - machine.created_at > self._duty.cluster.boot_times.give_up_after_s(machine.type)
 
     def _give_up(self, quiet: list[Machine], many: bool, now: float) -> None:
         """Of those that were not heard of for long."""
@@ -191,7 +191,7 @@
         Also those whose return was decided for another reason, and may not be sent while the lease is unsure.
         """
         cluster, workers = self._duty.cluster, self._duty.settings.params.workers
-        seen = Seen(cluster.started, sure, self._heard_at(), kept_zones)
+        seen = LeaderView(cluster.started, sure, self._heard_at(), kept_zones)
         unverified_cancelled_since = cluster.unverified_cancelled_since(now)
         leaving = [cluster.machines[name] for name in cluster.to_release if name in cluster.machines]
         for machine in [*quiet, *leaving]:
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -119,7 +119,7 @@
     entry = replica.jobs[job_id]
     if entry.state in wire.FINAL:
         through = entry.through
-        return None if through is None or through == job_id else Reason(Why.GONE, names=(through,))
+        return None if through is None or through == job_id else Reason(Why.NEED_CANCELLED, names=(through,))
     waits_for = replica.chain.waits_for(job_id)
     return Reason(Why.NEEDS, names=tuple(waits_for)) if waits_for else None
 
--- a/pepperlatch/policy/boots.py
+++ b/pepperlatch/policy/boot_times.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class Boots:
+class BootTimes:
     """The latest boots of each type in this term; the next leader learns anew, by what the cloud says at first."""
 
     seen: dict[str, deque[float]] = field(default_factory=dict)
@@ -27,7 +27,7 @@
         slow_s = self.slow_s.get(kind.name, 0.0)
         return max(c.BOOT_SPREAD * kind.boot_s, c.BOOT_SLOWER * slow_s) + c.BOOT_SLACK_S
 
-    def patience_s(self, kind: MachineType) -> float:
+    def give_up_after_s(self, kind: MachineType) -> float:
         """After this a booting machine is taken to never come up."""
         slow_s = self.slow_s.get(kind.name, 0.0)
         return max(c.BOOT_PATIENCE_LEAST_S, kind.boot_s * c.BOOT_PATIENCE, c.BOOT_PATIENCE * slow_s / c.BOOT_SPREAD)
--- a/pepperlatch/policy/cancellations.py
+++ b/pepperlatch/policy/cancellations.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class LeaderView:
     """What the leader knows beside the machine itself.
 
     `sure`: its lease cannot have ended. `heard_at`: when any other machine or controller was last heard of.
@@ -65,7 +65,7 @@
     return c.SILENT_REPORTS * workers.report_s
 
 
-def decide(machine: Machine, since: float, seen: Seen, workers: Workers, now: float) -> Decision:
+def decide(machine: Machine, since: float, seen: LeaderView, workers: Workers, now: float) -> Decision:
     """`since`: when a job that may have a task on the machine was cancelled, infinite if there is none.
 
     A return carries no token and names are used once, so one sent by a leader that has been succeeded breaks no rule;
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -14,14 +14,14 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.policy import reasons
-from pepperlatch.policy.boots import Boots
+from pepperlatch.policy.boot_times import BootTimes
 from pepperlatch.policy.cancellations import CancelledOn
 from pepperlatch.policy.cancelled_tasks import CancelledSince, CancelledTasks
 from pepperlatch.policy.delegation import DelegationAnswer, Delegations, DelegationStatement
 from pepperlatch.policy.events import Listener, NullListener
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.model import Attempt, Job, Machine, Phase, Status, split_task
-from pepperlatch.policy.quota import Quota, Use
+from pepperlatch.policy.quota import Quota, Usage
 from pepperlatch.policy.reasons import Reason
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.wire import Cause, JobSpec, Kind, MachineType, Report, TaskReport, TaskState
@@ -81,7 +81,7 @@
         self.peer_answered_at: dict[str, float] = {}  # when another controller last answered us
         self.delegations = Delegations()
         self.images = ImageMemory()
-        self.boots = Boots()
+        self.boot_times = BootTimes()
         self.listener: Listener = NullListener()
 
     # --- jobs -------------------------------------------------------------------------------------
@@ -391,7 +391,7 @@
         if machine is not None and machine.status is Status.JOINING:
             machine.status = Status.UP
             machine.up_at = now
-            self.boots.came_up(machine.type, now - machine.created_at)
+            self.boot_times.came_up(machine.type, now - machine.created_at)
             if not machine.attempts:
                 machine.idle_since = now
             self.dirty = True
@@ -636,7 +636,7 @@
                 revoked.append(grant.machine)
             elif grant.heard_s >= 0:
                 self._heard_through(machine, grant.heard_s, now)
-        self.delegations.prolong(follower, until)
+        self.delegations.extend(follower, until)
         return DelegationAnswer(max(0.0, until - now), self.delegations.number, revoked)
 
     def _heard_through(self, machine: Machine, heard_s: float, now: float) -> None:
@@ -770,24 +770,24 @@
         Those of jobs that were cancelled as well, and no more than these machines hold. So does what a machine shows
         though another is known to run it.
         """
-        hidden: dict[str, Use] = {}
+        hidden: dict[str, Usage] = {}
         if self.rebuilding():
             for job in self.jobs.values():
                 if job.from_earlier_term and not job.over:
                     unseen = job.spec.tasks - len(job.done) - len(job.live)
-                    hidden.setdefault(job.spec.team, Use()).add(job.spec, unseen)
+                    hidden.setdefault(job.spec.team, Usage()).add(job.spec, unseen)
             for gone in self.cancelled.unverified.values():
-                hidden.setdefault(gone.spec.team, Use()).add(gone.spec, gone.unseen)
+                hidden.setdefault(gone.spec.team, Usage()).add(gone.spec, gone.unseen)
             self._cap(hidden)
         else:
             self.cancelled.unverified.clear()
         for tasks in self.unknown_tasks.values():  # none that has exited is among them
             for name, _ in tasks:
                 if (spec := self._spec(name)) is not None:
-                    hidden.setdefault(spec.team, Use()).add(spec, 1)
+                    hidden.setdefault(spec.team, Usage()).add(spec, 1)
         self.quota.unverified = hidden
 
-    def _cap(self, hidden: dict[str, Use]) -> None:
+    def _cap(self, hidden: dict[str, Usage]) -> None:
         """A worker refuses what it has no room for: so no more is hidden than its machine holds."""
         machines = [self.machines.get(name) for name in self.unverified]
         known = [machine for machine in machines if machine is not None]
--- a/pepperlatch/policy/delegation.py
+++ b/pepperlatch/policy/delegation.py
@@ -79,7 +79,7 @@
         for follower in self._holders.pop(machine, {}):
             self._granted[follower].discard(machine)
 
-    def prolong(self, follower: str, until: float) -> None:
+    def extend(self, follower: str, until: float) -> None:
         """The follower is about to be told that it may answer until then."""
         self._until[follower] = max(until, self._until.get(follower, -math.inf))
 
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -17,7 +17,7 @@
 from pepperlatch.policy.model import EPS, Attempt, Job, Machine, Phase, Status, allowed_on, fits_type
 from pepperlatch.policy.pace import PLACEMENT_WORK
 from pepperlatch.policy.placement import Candidates
-from pepperlatch.policy.quota import Use
+from pepperlatch.policy.quota import Usage
 from pepperlatch.policy.reasons import Reason, Why
 from pepperlatch.policy.supply import Spare
 from pepperlatch.policy.tuning import Tuning
@@ -53,7 +53,7 @@
     changed: bool = False  # something has changed since an unfinished pass began
     limits: dict[str, Reason] = field(default_factory=dict)  # teams that were at their limit in this round
     ahead: list[Job] = field(default_factory=list)  # jobs whose turn it is whatever the order, one a team at the most
-    kept: dict[str, Use] = field(default_factory=dict)  # of teams' limits, for gangs that waited long, in this round
+    kept: dict[str, Usage] = field(default_factory=dict)  # of teams' limits, for gangs that waited long, in this round
 
     # --- placing ----------------------------------------------------------------------------------
 
@@ -151,7 +151,7 @@
         if not job.waiting or not turns.holds(job, now):
             return machines
         fits = self._room(job.spec) >= job.spec.tasks
-        self.kept.setdefault(job.spec.team, Use()).add(job.spec, job.spec.tasks)
+        self.kept.setdefault(job.spec.team, Usage()).add(job.spec, job.spec.tasks)
         first = next(other for other in self.ahead if turns.holds(other, now))
         if not fits or job is not first:
             return machines
@@ -165,7 +165,7 @@
     def _pausing(self, job: Job) -> Reason:
         """It failed on several machines, or a worker had no room for it after all."""
         if job.pause_s > 0:
-            return Reason(Why.PAUSING, machines=len(job.failed_on), until=job.not_before)
+            return Reason(Why.BACKOFF, machines=len(job.failed_on), until=job.not_before)
         return Reason(Why.REFUSED, until=job.not_before)
 
     def _place_tasks(self, job: Job, machines: list[Machine], now: float) -> bool:
@@ -263,7 +263,7 @@
         """All tasks or none, under one attempt number."""
         cluster, spec = self.cluster, job.spec
         if job.live:
-            cluster.explain(job, Reason(Why.LEAVING, tasks=len(job.live)), now)
+            cluster.explain(job, Reason(Why.EARLIER_ATTEMPT_STOPPING, tasks=len(job.live)), now)
             return
         if self._room(spec) < spec.tasks:
             cluster.explain(job, self._limited(spec), now)
@@ -410,7 +410,7 @@
             machine.zone not in self.dark
             and machine.status is Status.BOOTING
             and not machine.unexpected
-            and now - machine.created_at < self.cluster.boots.expected_s(machine.type)
+            and now - machine.created_at < self.cluster.boot_times.expected_s(machine.type)
         )
 
     def rent(self, now: float) -> list[Offer]:
@@ -449,7 +449,7 @@
         """Nothing may be rented now, so nobody is told of machines that will come."""
         for need in self.needs:
             spec = need.job.spec
-            self.cluster.explain(need.job, Reason(Why.HELD, tasks=need.count, each=reasons.each(spec)), now)
+            self.cluster.explain(need.job, Reason(Why.NO_RENTING, tasks=need.count, each=reasons.each(spec)), now)
 
     def _first_up(self, now: float) -> float | None:
         """About when the first of the machines that are booting will be up."""
--- a/pepperlatch/policy/quota.py
+++ b/pepperlatch/policy/quota.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Use:
+class Usage:
     cpus: float = 0.0
     gpus: float = 0.0
 
@@ -25,21 +25,21 @@
 
 @dataclass(slots=True)
 class Quota:
-    """Use per team, counted from sending a launch until the task is proven gone."""
+    """Usage per team, counted from sending a launch until the task is proven gone."""
 
     teams: dict[str, Team]
-    used: dict[str, Use] = field(default_factory=dict)
-    unverified: dict[str, Use] = field(default_factory=dict)  # what unseen machines may be running
+    used: dict[str, Usage] = field(default_factory=dict)
+    unverified: dict[str, Usage] = field(default_factory=dict)  # what unseen machines may be running
 
-    def of(self, team: str) -> Use:
-        return self.used.setdefault(team, Use())
+    def of(self, team: str) -> Usage:
+        return self.used.setdefault(team, Usage())
 
-    def room(self, spec: JobSpec, kept: Use | None = None) -> int:
+    def room(self, spec: JobSpec, kept: Usage | None = None) -> int:
         """How many more tasks like this the team's limit allows now; `kept` is left for another job of the team."""
         team = self.teams.get(spec.team)
         if team is None:
             return 0
-        used, hidden, kept = self.of(spec.team), self.unverified.get(spec.team, Use()), kept or Use()
+        used, hidden, kept = self.of(spec.team), self.unverified.get(spec.team, Usage()), kept or Usage()
         rooms = [
             int((most - now + EPS) // each)
             for each, most, now in (
@@ -61,23 +61,23 @@
 
     def at_limit(self, spec: JobSpec) -> Reason:
         """The limit that leaves no room for another task of the job, with what counts against it."""
-        team, used, hidden = self.teams.get(spec.team), self.of(spec.team), self.unverified.get(spec.team, Use())
+        team, used, hidden = self.teams.get(spec.team), self.of(spec.team), self.unverified.get(spec.team, Usage())
         if team is None:
-            return Reason(Why.LIMIT, team=spec.team, unit="CPUs")
+            return Reason(Why.TEAM_LIMIT, team=spec.team, unit="CPUs")
         if spec.gpus > 0 and 0 < team.gpus_max < used.gpus + hidden.gpus + spec.gpus - EPS:
             gpus = used.gpus + hidden.gpus
             return Reason(
-                Why.LIMIT, team=team.name, unit="GPUs", used=gpus, most=team.gpus_max, unseen=hidden.gpus
+                Why.TEAM_LIMIT, team=team.name, unit="GPUs", used=gpus, most=team.gpus_max, unseen=hidden.gpus
             )  # fmt: skip
         cpus = used.cpus + hidden.cpus
-        return Reason(Why.LIMIT, team=team.name, unit="CPUs", used=cpus, most=team.cpus_max, unseen=hidden.cpus)
+        return Reason(Why.TEAM_LIMIT, team=team.name, unit="CPUs", used=cpus, most=team.cpus_max, unseen=hidden.cpus)
 
     def over_guarantee(self, team_name: str) -> bool:
         team, used = self.teams.get(team_name), self.of(team_name)
         return team is None or not guaranteed(team, used)
 
 
-def guaranteed(team: Team, use: Use) -> bool:
+def guaranteed(team: Team, use: Usage) -> bool:
     """Whether so much use lies within what the team is guaranteed, in each resource that it is given in."""
     pairs = [(most, now) for most, now in ((team.cpus, use.cpus), (team.gpus, use.gpus)) if most > 0]
     return any(now > 0 for _, now in pairs) and all(now <= most + EPS for most, now in pairs)
@@ -94,11 +94,11 @@
 
 def within_guarantee(jobs: Iterable[Job], teams: dict[str, Team]) -> set[str]:
     """Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs."""
-    sums: dict[str, Use] = {}
+    sums: dict[str, Usage] = {}
     inside: set[str] = set()
     for job in sorted(jobs, key=lambda j: j.version):
         team = teams.get(job.spec.team)
-        total = sums.setdefault(job.spec.team, Use())
+        total = sums.setdefault(job.spec.team, Usage())
         total.add(job.spec, job.spec.tasks - len(job.done))
         if team is not None and guaranteed(team, total):
             inside.add(job.spec.id)
--- a/pepperlatch/policy/reasons.py
+++ b/pepperlatch/policy/reasons.py
@@ -17,20 +17,20 @@
 class Why(str, Enum):
     PLACING = "placing"  # accepted; the next round looks at it
     NEEDS = "needs"  # jobs that it needs are not done
-    GONE = "need-cancelled"  # a job that it needs was cancelled
+    NEED_CANCELLED = "need-cancelled"  # a job that it needs was cancelled
     REBUILDING = "rebuilding"  # after a takeover machines are not accounted for, and might run its tasks
-    PAUSING = "pausing"  # it failed before
+    BACKOFF = "pausing"  # it failed before
     REFUSED = "refused"  # a worker refused to start a task
-    LIMIT = "team-limit"
-    LEAVING = "leaving"  # a gang's earlier attempt has to be gone first
+    TEAM_LIMIT = "team-limit"
+    EARLIER_ATTEMPT_STOPPING = "leaving"  # a gang's earlier attempt has to be gone first
     NO_ROOM = "no-room"  # what is done about it is decided next
-    FINISHING = "finishing"  # running tasks will leave room in time
+    ROOM_SOON = "finishing"  # running tasks will leave room in time
     BOOTING = "booting"  # machines that will have room
-    ASKED = "asked"  # the cloud is being asked for machines
-    CAPACITY = "no-capacity"  # the cloud has refused whatever would do
-    DARK = "cut-off"  # the zones that would do are cut off
-    THRIFT = "cheap-room"  # time enough to wait for room on cheap machines
-    HELD = "held"  # nothing may be rented: leadership is not proven
+    ASKING_CLOUD = "asked"  # the cloud is being asked for machines
+    NO_CAPACITY = "no-capacity"  # the cloud has refused whatever would do
+    CUT_OFF = "cut-off"  # the zones that would do are cut off
+    CHEAP_ROOM = "cheap-room"  # time enough to wait for room on cheap machines
+    NO_RENTING = "held"  # nothing may be rented: leadership is not proven
     STARTING = "starting"
     FETCHING = "fetching"
     RUNNING = "running"
@@ -40,20 +40,20 @@
 CHANGES = {
     Why.PLACING: "the next round of planning, within a second",
     Why.NEEDS: "the jobs named are done; cancelling one of them cancels this one",
-    Why.GONE: "nothing: it is cancelled; submit it again without that job",
+    Why.NEED_CANCELLED: "nothing: it is cancelled; submit it again without that job",
     Why.REBUILDING: "every machine has been heard of, was returned, or its lease is over",
-    Why.PAUSING: "the pause ends; if it fails everywhere the job itself is at fault: its owner cancels it",
+    Why.BACKOFF: "the pause ends; if it fails everywhere the job itself is at fault: its owner cancels it",
     Why.REFUSED: "a short pause ends, and it is placed anew",
-    Why.LIMIT: "tasks of the team end, or its limit is raised in the platform's file",
-    Why.LEAVING: "the tasks of the earlier attempt have exited",
+    Why.TEAM_LIMIT: "tasks of the team end, or its limit is raised in the platform's file",
+    Why.EARLIER_ATTEMPT_STOPPING: "the tasks of the earlier attempt have exited",
     Why.NO_ROOM: "a task ends or a machine comes up",
-    Why.FINISHING: "tasks that run now end; if they would end too late, machines are rented",
+    Why.ROOM_SOON: "tasks that run now end; if they would end too late, machines are rented",
     Why.BOOTING: "the machines come up",
-    Why.ASKED: "the cloud answers",
-    Why.CAPACITY: "tasks end, or the cloud has machines again; wider types or zones help",
-    Why.DARK: "the cut ends; other zones help, if the job allows them",
-    Why.THRIFT: "cheap machines have room, or its aims leave no more time to wait",
-    Why.HELD: "the state service answers this leader",
+    Why.ASKING_CLOUD: "the cloud answers",
+    Why.NO_CAPACITY: "tasks end, or the cloud has machines again; wider types or zones help",
+    Why.CUT_OFF: "the cut ends; other zones help, if the job allows them",
+    Why.CHEAP_ROOM: "cheap machines have room, or its aims leave no more time to wait",
+    Why.NO_RENTING: "the state service answers this leader",
     Why.STARTING: "the worker reports the task",
     Why.FETCHING: "the machine has the image",
     Why.RUNNING: "nothing waits",
@@ -71,7 +71,8 @@
 
 # What a job without a place waits for; set by renting, after each round that found no room.
 SUPPLY = frozenset(
-    (Why.NO_ROOM, Why.FINISHING, Why.BOOTING, Why.ASKED, Why.CAPACITY, Why.DARK, Why.THRIFT, Why.HELD)
+    (Why.NO_ROOM, Why.ROOM_SOON, Why.BOOTING, Why.ASKING_CLOUD, Why.NO_CAPACITY,
+     Why.CUT_OFF, Why.CHEAP_ROOM, Why.NO_RENTING)
 )  # fmt: skip
 STANDING = SUPPLY - {Why.NO_ROOM}  # one of these stands a while before another takes its place
 
@@ -130,22 +131,22 @@
 _TEXTS: dict[Why, Callable[[Reason], str]] = {
     Why.PLACING: lambda r: "waiting to be placed",
     Why.NEEDS: lambda r: "waits for " + named(r.names),
-    Why.GONE: lambda r: f"{r.names[0]}, which it needs, was cancelled",
+    Why.NEED_CANCELLED: lambda r: f"{r.names[0]}, which it needs, was cancelled",
     Why.REBUILDING: lambda r: (
         f"controllers are rebuilding their picture: {r.machines} of {counted(r.among, 'machine')} not accounted for"
     ),
-    Why.PAUSING: lambda r: f"failed before on {counted(r.machines, 'machine')}, pausing",
+    Why.BACKOFF: lambda r: f"failed before on {counted(r.machines, 'machine')}, pausing",
     Why.REFUSED: lambda r: "a worker refused to start it, pausing",
-    Why.LIMIT: _limit,
-    Why.LEAVING: lambda r: f"{counted(r.tasks, 'task')} of its earlier attempt must be gone first",
+    Why.TEAM_LIMIT: _limit,
+    Why.EARLIER_ATTEMPT_STOPPING: lambda r: f"{counted(r.tasks, 'task')} of its earlier attempt must be gone first",
     Why.NO_ROOM: lambda r: f"no machine has room for {_tasks(r)}",
-    Why.FINISHING: lambda r: f"{_tasks(r)} wait for places that running tasks will leave",
+    Why.ROOM_SOON: lambda r: f"{_tasks(r)} wait for places that running tasks will leave",
     Why.BOOTING: lambda r: f"{counted(r.machines, 'machine')} booting, with room for {_tasks(r)}",
-    Why.ASKED: lambda r: f"the cloud is asked for machines for {_tasks(r)}",
-    Why.CAPACITY: lambda r: f"no capacity in the allowed zones for {_tasks(r)} ({r.where})",
-    Why.DARK: lambda r: f"cut off: {r.where}, where alone {_tasks(r)} could run",
-    Why.THRIFT: lambda r: f"{_tasks(r)} wait for room on cheap machines",
-    Why.HELD: lambda r: f"nothing may be rented for {_tasks(r)} while the state service does not answer",
+    Why.ASKING_CLOUD: lambda r: f"the cloud is asked for machines for {_tasks(r)}",
+    Why.NO_CAPACITY: lambda r: f"no capacity in the allowed zones for {_tasks(r)} ({r.where})",
+    Why.CUT_OFF: lambda r: f"cut off: {r.where}, where alone {_tasks(r)} could run",
+    Why.CHEAP_ROOM: lambda r: f"{_tasks(r)} wait for room on cheap machines",
+    Why.NO_RENTING: lambda r: f"nothing may be rented for {_tasks(r)} while the state service does not answer",
     Why.STARTING: lambda r: "starting",
     Why.FETCHING: lambda r: f"fetching its image {r.image}",
     Why.RUNNING: lambda r: "running",
--- a/pepperlatch/policy/shortage.py
+++ b/pepperlatch/policy/shortage.py
@@ -35,11 +35,11 @@
         """
         spec = need.job.spec
         if need.count > 0:
-            return self._for(Why.CAPACITY, need, need.count)
+            return self._for(Why.NO_CAPACITY, need, need.count)
         if after_finish > 0:
-            return Reason(Why.ASKED, tasks=wanted, each=self._size(spec))
+            return Reason(Why.ASKING_CLOUD, tasks=wanted, each=self._size(spec))
         if after_boot > 0:
-            return Reason(Why.FINISHING, tasks=wanted, each=self._size(spec))
+            return Reason(Why.ROOM_SOON, tasks=wanted, each=self._size(spec))
         return self._for(Why.BOOTING, need, wanted)
 
     def _size(self, spec: JobSpec) -> str:
@@ -55,7 +55,7 @@
         key = (kind, tasks, spec.cpus, spec.gpus, spec.memory_gb, types, spec.zone, spec.spot, need.spot_only)
         held = self._alike.get(key)
         if held is None:
-            made = self._unserved(need, tasks) if kind is Why.CAPACITY else self._booting(spec, tasks)
+            made = self._unserved(need, tasks) if kind is Why.NO_CAPACITY else self._booting(spec, tasks)
             held = self._alike[key] = made
         return held
 
@@ -77,17 +77,17 @@
         ]  # fmt: skip
         lit = [offer for offer in offers if offer.zone not in self.dark]
         if offers and not lit:
-            return Reason(Why.DARK, tasks=tasks, each=size, where="zones " + _list(offer.zone for offer in offers))
+            return Reason(Why.CUT_OFF, tasks=tasks, each=size, where="zones " + _list(offer.zone for offer in offers))
         open_ = [offer for offer in lit if self.blocked.get(offer, 0.0) <= self.now]
         if need.spot_only and any(not offer.spot for offer in open_):
-            return Reason(Why.THRIFT, tasks=tasks, each=size)
+            return Reason(Why.CHEAP_ROOM, tasks=tasks, each=size)
         if any(offer in self.asked for offer in open_):
-            return Reason(Why.ASKED, tasks=tasks, each=size)
+            return Reason(Why.ASKING_CLOUD, tasks=tasks, each=size)
         if open_:  # more than is asked for at once
             return Reason(Why.NO_ROOM, tasks=tasks, each=size)
         until = min((self.blocked[offer] for offer in lit), default=None)
         where = f"{_list(offer.type for offer in lit)} in {_list(offer.zone for offer in lit)}"
-        return Reason(Why.CAPACITY, tasks=tasks, each=size, where=where, until=until)
+        return Reason(Why.NO_CAPACITY, tasks=tasks, each=size, where=where, until=until)
 
 
 def _list(names: Iterable[str]) -> str:
--- a/tests/console/test_view.py
+++ b/tests/console/test_view.py
@@ -96,7 +96,7 @@
             await mirror.step()
             texts.update({row.why: row.text for row in mirror.rows.values()})
             await trio.sleep(1.0)
-        assert texts[Why.LIMIT] in ("team limit: red uses 32 of 32 CPUs", "team limit: blue uses 16 of 16 CPUs")
+        assert texts[Why.TEAM_LIMIT] in ("team limit: red uses 32 of 32 CPUs", "team limit: blue uses 16 of 16 CPUs")
         assert texts[Why.NEEDS] == "waits for run-000021"
         assert {Why.BOOTING, Why.RUNNING} <= set(texts), texts
         assert "booting, with room for" in texts[Why.BOOTING]
@@ -112,14 +112,14 @@
         mirror = mirror_of(world)
         await mirror.load()
         row = mirror.rows["run-000001"]
-        assert row.why == Why.CAPACITY and row.text.endswith("for 2 tasks of 2 CPUs, 1 GB (m8 in a, b, c)")
+        assert row.why == Why.NO_CAPACITY and row.text.endswith("for 2 tasks of 2 CPUs, 1 GB (m8 in a, b, c)")
         assert row.until is not None and row.until > world.wall(trio.current_time())
         world.state.out = True
         await trio.sleep(6.0)
         leader_of(world).cluster.dirty = True
         await trio.sleep(c.TEXT_S + 1)
         await mirror.step()
-        assert mirror.rows["run-000001"].why == Why.HELD
+        assert mirror.rows["run-000001"].why == Why.NO_RENTING
         world.state.out = False
 
     story(tell, parts=(part,))
--- a/tests/heartbeats/test_delegation.py
+++ b/tests/heartbeats/test_delegation.py
@@ -47,7 +47,7 @@
         """What the leader does with a statement; its last answer to n-1 as it reckons is kept."""
         for last in self.leader.take(FOLLOWER, statement, now):
             self.answered_at = max(getattr(self, "answered_at", -1.0), last.at)
-        self.leader.prolong(FOLLOWER, now + seconds)
+        self.leader.extend(FOLLOWER, now + seconds)
         revoked = [] if self.settled else [grant.machine for grant in statement.held]
         return DelegationAnswer(seconds, self.leader.number, revoked)
 
--- a/tests/meetings/test_limits.py
+++ b/tests/meetings/test_limits.py
@@ -7,7 +7,7 @@
 import trio
 
 from pepperlatch.policy.cluster import Cluster
-from pepperlatch.policy.quota import Use
+from pepperlatch.policy.quota import Usage
 from pepperlatch.protocol import wire
 from tests.cuts.test_sessions import HOLD_S, TOKEN, cluster_of, report
 from tests.fakes import CANCEL_S, HALL, LAB, NODES, ZONES, Platform, Worker, World, job, settings_of, story
@@ -142,7 +142,7 @@
         shown = [{"piece": "run-000001/0", "try": 41 if name == "n-1" else 42, "status": "running"}]
         cluster.on_report(report(1, 1, perch=name, pieces=shown), 1.0, heartbeat=True)
     cluster.count_unverified_usage()
-    assert (cluster.quota.of("red").cpus, cluster.quota.unverified) == (4.0, {"red": Use(4.0, 0.0)})
+    assert (cluster.quota.of("red").cpus, cluster.quota.unverified) == (4.0, {"red": Usage(4.0, 0.0)})
     cluster.on_report(report(1, 2), 2.0, heartbeat=True)
     cluster.count_unverified_usage()
     assert cluster.quota.unverified == {}
--- a/tests/meetings/test_returns_of_hung_machines.py
+++ b/tests/meetings/test_returns_of_hung_machines.py
@@ -8,7 +8,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
-from pepperlatch.policy.cancellations import Decision, Seen, decide, return_after_s
+from pepperlatch.policy.cancellations import Decision, LeaderView, decide, return_after_s
 from pepperlatch.policy.cluster import Cluster
 from pepperlatch.policy.model import Machine
 from pepperlatch.protocol import wire
@@ -30,8 +30,8 @@
     return one
 
 
-def seen(**more: Any) -> Seen:
-    return Seen(**{"started": 0.0, "sure": True, "heard_at": DUE_AT, "kept_zones": set(), **more})
+def seen(**more: Any) -> LeaderView:
+    return LeaderView(**{"started": 0.0, "sure": True, "heard_at": DUE_AT, "kept_zones": set(), **more})
 
 
 def test_the_moment_leaves_time_for_a_successor_and_for_a_lost_answer() -> None:
@@ -59,7 +59,7 @@
     ],
 )
 def test_what_is_decided_of_a_silent_machine(
-    one: Machine, known: Seen, since: float, now: float, decision: Decision
+    one: Machine, known: LeaderView, since: float, now: float, decision: Decision
 ) -> None:
     assert decide(one, since, known, WORKERS, now) is decision
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -227,7 +227,7 @@
     room = quota.Quota(teams)
     room.of("red").add(jobs[0].spec, 7)
     assert room.room(jobs[1].spec) == 1
-    room.unverified = {"red": quota.Use(2.0, 0.0)}
+    room.unverified = {"red": quota.Usage(2.0, 0.0)}
     assert room.room(jobs[1].spec) == 0
 
 
