--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -205,7 +205,7 @@
         self.machines_to_command.add(machine)
 
     def stop(self, attempt: Attempt, grace_s: float, why: str) -> None:
-        attempt.stopped_for = attempt.stopped_for or why
+        attempt.stop_reason = attempt.stop_reason or why
         if attempt.wanted or grace_s < (attempt.kill_grace or 0.0):
             attempt.kill_grace = grace_s
             attempt.kill_sent = -1.0
@@ -455,7 +455,7 @@
         elif attempt.phase is Phase.SENT and heartbeat and 0 <= attempt.sent_seq < seq and key not in machine.sticky:
             attempt.phase = Phase.PLANNED
             if not attempt.wanted:
-                self._lose(attempt, now, attempt.stopped_for)
+                self._lose(attempt, now, attempt.stop_reason)
             elif machine.lost_answers >= c.UNHEARD_MOST:
                 self._lose(attempt, now, "its machine does not hear us")
             self.machines_to_command.add(machine)
@@ -499,7 +499,7 @@
                 extra=_fields(attempt),
             )  # fmt: skip
             cause = task.why.value if task.why else "ended"
-            self._remove(attempt, now, (task.why is Cause.STOPPED and attempt.stopped_for) or cause)
+            self._remove(attempt, now, (task.why is Cause.STOPPED and attempt.stop_reason) or cause)
         if attempt is not None and attempt.sent_seq < 0 and task.why is not Cause.DONE:
             machine.unreaped[(task.task, task.attempt)] = now + c.COPIES_S
         if parts and job is not None and task.why is Cause.DONE:
@@ -754,7 +754,7 @@
             else:
                 attempt.phase = Phase.PLANNED
                 if not attempt.wanted:
-                    self._lose(attempt, now, attempt.stopped_for)
+                    self._lose(attempt, now, attempt.stop_reason)
         if executed is not True:
             for attempt in machine.attempts.values():
                 attempt.kill_sent = -1.0
--- a/pepperlatch/policy/model.py
+++ b/pepperlatch/policy/model.py
@@ -40,7 +40,7 @@
     sent_seq: int = -1  # report in whose answer the launch was last sent; -1: sent directly
     kill_grace: float | None = None  # wanted gone, with this time to save
     kill_sent: float = -1.0
-    stopped_for: str = ""  # why it is wanted gone, in a few words
+    stop_reason: str = ""  # why it is wanted gone, in a few words
 
     @property
     def name(self) -> str:
@@ -159,12 +159,12 @@
     def __post_init__(self) -> None:
         self.free_cpus, self.free_gpus, self.free_gb = self.type.cpus, self.type.gpus, self.type.memory_gb
 
-    def take(self, spec: JobSpec) -> None:
+    def reserve_room(self, spec: JobSpec) -> None:
         self.free_cpus -= spec.cpus
         self.free_gpus -= spec.gpus
         self.free_gb -= spec.memory_gb
 
-    def give(self, spec: JobSpec) -> None:
+    def free_room(self, spec: JobSpec) -> None:
         self.free_cpus += spec.cpus
         self.free_gpus += spec.gpus
         self.free_gb += spec.memory_gb
@@ -185,7 +185,7 @@
     def add(self, attempt: Attempt) -> None:
         self.attempts[(attempt.name, attempt.number)] = attempt
         self._count_replica(attempt.job.spec, 1)
-        self.take(attempt.job.spec)
+        self.reserve_room(attempt.job.spec)
         self.idle_since = None
 
     def drop(self, attempt: Attempt) -> bool:
@@ -193,7 +193,7 @@
         if self.attempts.pop((attempt.name, attempt.number), None) is None:
             return False
         self._count_replica(attempt.job.spec, -1)
-        self.give(attempt.job.spec)
+        self.free_room(attempt.job.spec)
         return True
 
     def _count_replica(self, spec: JobSpec, by: int) -> None:
@@ -204,7 +204,7 @@
                 spec.gpus / self.type.gpus if self.type.gpus else 0.0,
             )
 
-    def kept(self) -> bool:
+    def exempt_from_draining(self) -> bool:
         """Replicas alone keep it from being drained: what else runs there costs nothing more."""
         return self.replica_share >= EMPTYING_SHARE - EPS
 
--- a/pepperlatch/policy/placement.py
+++ b/pepperlatch/policy/placement.py
@@ -68,7 +68,7 @@
     kind = machine.spot != spec.spot
     if spec.kind is not Kind.SERVICE:
         size = machine.type.cpus + machine.type.gpus
-        empties = kind and not machine.spot and not machine.kept()
+        empties = kind and not machine.spot and not machine.exempt_from_draining()
         return (is_slow(machine), late, kind, empties, size, image, machine.free_cpus, machine.created_at)
     home = machine.holds_replicas()
     pins = machine.price() if not home else 0.0
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -218,7 +218,7 @@
         def free(machine: Machine) -> bool:
             if waited_long and (spec.kind is Kind.GANG or not job.live):
                 return True
-            if thrifty and not (machine.spot or machine.kept()):
+            if thrifty and not (machine.spot or machine.exempt_from_draining()):
                 return False
             return entitled or self.spare.allows(spec, machine)
 
@@ -337,7 +337,7 @@
     def _stopping(self) -> bool:
         """Whether somebody still leaves for another; who is cancelled or drained makes no room that is spoken for."""
         return any(
-            a.stopped_for.startswith(STOPPED_FOR) for m in self.cluster.machines.values() for a in m.attempts.values()
+            a.stop_reason.startswith(STOPPED_FOR) for m in self.cluster.machines.values() for a in m.attempts.values()
         )
 
     def _place_key(self, job: Job) -> tuple[bool, int]:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -256,7 +256,7 @@
     spare.count([home], [one], 1.0)
     sweep = spec_of(2, cores=4.0)
     assert spare.allows(sweep, home) and spare.allows(one, home)
-    home.take(sweep)
+    home.reserve_room(sweep)
     spare.took(home)
     assert not spare.allows(sweep, home) and spare.allows(one, home)
     assert spare.needs(home) and not spare.short()
