--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -232,7 +232,7 @@
         self, machine: Machine, report: Report | None, sent: float, through_others: bool, heard: bool
     ) -> None:  # fmt: skip
         machine.probing = False
-        if through_others:  # its reports are passed on, see Cluster.relayed
+        if through_others:  # its reports are passed on, see Cluster.machines_to_relay
             machine.relay_until = self._duty.clock() + c.RELAY_STICKY_S
         machine.probes += heard
         machine.isolated_probes += not heard
--- a/pepperlatch/policy/boot_times.py
+++ b/pepperlatch/policy/boot_times.py
@@ -1,4 +1,4 @@
-"""How long machines take to boot, as seen: in an hour of slow boots none is taken to never come up too soon. No I/O."""
+"""Observed boot times of machines, so that during slow boots none is given up too soon. No I/O, no clock."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,13 +9,17 @@
 
 @dataclass(slots=True)
 class BootTimes:
-    """The latest boots of each type in this term; the next leader learns anew, by what the cloud says at first."""
+    """The latest boot times of each machine type in this term.
 
-    seen: dict[str, deque[float]] = field(default_factory=dict)
-    slow_s: dict[str, float] = field(default_factory=dict)  # what nine of ten of them took at most, if there are a few
+    They are not stored: the next leader starts from the boot times that the cloud states.
+    """
+
+    seen: dict[str, deque[float]] = field(default_factory=dict)  # by type: the latest boot times in seconds
+    slow_s: dict[str, float] = field(default_factory=dict)  # by type: their 90th percentile, if there are a few
 
     def came_up(self, kind: MachineType, seconds: float) -> None:
-        if seconds < c.BOOT_LEAST_S:  # it was up before we knew of it
+        """Note that a machine of this type came up after so many seconds."""
+        if seconds < c.BOOT_LEAST_S:  # it was up before this leader knew of it
             return
         seen = self.seen.setdefault(kind.name, deque(maxlen=c.BOOTS_SEEN))
         seen.append(seconds)
@@ -23,11 +27,11 @@
             self.slow_s[kind.name] = sorted(seen)[int(c.BOOT_SLOW_SHARE * (len(seen) - 1))]
 
     def expected_s(self, kind: MachineType) -> float:
-        """So long a machine that is booting is counted on."""
+        """Seconds after its renting for which a booting machine is counted on."""
         slow_s = self.slow_s.get(kind.name, 0.0)
         return max(c.BOOT_SPREAD * kind.boot_s, c.BOOT_SLOWER * slow_s) + c.BOOT_SLACK_S
 
     def give_up_after_s(self, kind: MachineType) -> float:
-        """After this a booting machine is taken to never come up."""
+        """Seconds after its renting from which on a booting machine is expected never to come up, and is returned."""
         slow_s = self.slow_s.get(kind.name, 0.0)
         return max(c.BOOT_PATIENCE_LEAST_S, kind.boot_s * c.BOOT_PATIENCE, c.BOOT_PATIENCE * slow_s / c.BOOT_SPREAD)
--- a/pepperlatch/policy/cancellations.py
+++ b/pepperlatch/policy/cancellations.py
@@ -1,8 +1,9 @@
-"""When a silent machine that may hold a task of a cancelled job is returned. No I/O, no clock.
+"""Decides when a silent machine that may hold a task of a cancelled job is returned to the cloud. No I/O, no clock.
 
-`cancel_s` after a user was told, nothing of the job may be on a machine. A machine that hangs proves nothing by the end
-of its lease, for it ends that only once it goes on; its return by the cloud proves all. So it is returned while every
-step that may fail once still fits before that bound ("Machines that hang" in `docs/safety.md`).
+No task of a cancelled job may be on a machine later than `cancel_s` seconds after a user was told of the cancellation.
+The end of a hung machine's lease proves nothing, since its worker stops the tasks only once it resumes; only the return
+of the machine is a proof. So it is returned early enough that every step on the way may fail once and the bound still
+holds ("Machines that hang" in `docs/safety.md`).
 """
 
 import math
@@ -21,11 +22,11 @@
 
     machine: str
     addr: str
-    ago_s: float  # no user was told earlier
+    ago_s: float  # seconds since the cancellation; no user was told of it earlier
 
 
 class Decision(Enum):
-    """What to do about a silent machine; the texts stand in the log."""
+    """What to do about a silent machine; the values appear in the log."""
 
     NOTHING = "it holds no cancelled task"
     RETURN = "it is returned"
@@ -38,51 +39,52 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderView:
-    """What the leader knows beside the machine itself.
+    """What the leader knows beside the machine itself; times in seconds of the node's steady clock."""
 
-    `sure`: its lease cannot have ended. `heard_at`: when any other machine or controller was last heard of.
-    """
-
-    started: float
-    sure: bool
-    heard_at: float
-    kept_zones: set[str]
+    started: float  # when it took over
+    sure: bool  # its lease of the leader's key cannot have ended
+    heard_at: float  # when any machine or other controller was last reached
+    kept_zones: set[str]  # zones that seem cut off, whose machines are kept
 
 
 def return_after_s(workers: Workers) -> float:
-    """Seconds after a cancellation at which a silent machine that may hold a task of the job is asked to be returned.
+    """Seconds after a cancellation from which on the return of a silent machine that may hold a task is requested.
 
-    The leader may end at that very moment, and the answer to its successor's first request may be lost.
+    Leaves time for the case that the leader ends at that very moment and its successor's first request gets no answer.
     """
     successor_s = c.LEADER_LEASE_MS / 1000 + c.ELECTION_S
-    asking_s = c.SILENT_PROBES * (c.PROBE_S + c.TICK_S) + c.PROBE_S  # directly, then through others as well
+    asking_s = c.SILENT_PROBES * (c.PROBE_S + c.TICK_S) + c.PROBE_S  # directly, then through other controllers as well
     lost_request_s = c.CLOUD_REQUEST_S + c.CLOUD_RETRY_S
     takes_s = successor_s + _silence_s(workers) + asking_s + lost_request_s + c.RETURN_CONFIRM_S + c.TICK_S
     return max(0.0, workers.cancel_s - takes_s)
 
 
 def _silence_s(workers: Workers) -> float:
+    """Seconds without a report after which a machine counts as silent."""
     return c.SILENT_REPORTS * workers.report_s
 
 
-def decide(machine: Machine, since: float, seen: LeaderView, workers: Workers, now: float) -> Decision:
-    """`since`: when a job that may have a task on the machine was cancelled, infinite if there is none.
+def decide(machine: Machine, since: float, view: LeaderView, workers: Workers, now: float) -> Decision:
+    """Decide about a silent machine; the leader's health checks call this in each round.
+
+    `since`: when a job that may have a task on the machine was cancelled; infinite if there is none.
 
-    A return carries no token and names are used once, so one sent by a leader that has been succeeded breaks no rule;
-    it costs what runs there. So one that is not sure returns only what is late, does not answer, and cannot be silent
-    just because this node is cut off from everybody; and only while that is of use.
+    A request to return a machine carries no token, and machine names are never reused. So a return requested by a
+    leader that has been succeeded breaks no rule; it only costs what runs on the machine. A leader that is not sure
+    of its lease therefore returns a machine only if its time is up, it does not answer, and something else was reached
+    since it fell silent (else this node may be cut off from everything), and only while the bound is not yet past.
     """
     if math.isinf(since):
         return Decision.NOTHING
-    if machine.zone in seen.kept_zones:
+    if machine.zone in view.kept_zones:
         return Decision.KEEP_ZONE
-    silent_since = max(machine.last_report_at, seen.started) + _silence_s(workers)
+    silent_since = max(machine.last_report_at, view.started) + _silence_s(workers)
     if now <= silent_since or now - since <= return_after_s(workers):
         return Decision.WAIT
     if machine.probes + machine.isolated_probes < (1 if machine.last_report_at < 0 else c.SILENT_PROBES):
         return Decision.ASK
-    if seen.sure:
+    if view.sure:
         return Decision.RETURN
-    if seen.heard_at <= silent_since:
+    if view.heard_at <= silent_since:
         return Decision.CUT_OFF
     return Decision.RETURN if now - since <= workers.cancel_s else Decision.TOO_LATE
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -1,7 +1,8 @@
-"""The leader's picture of jobs, tasks and machines, and how reports and results change it.
+"""The leader's in-memory state of jobs, task attempts and machines, and how reports and command results change it.
 
-No I/O and no clock: every method is told the time. What has to happen outside is left in `machines_to_command`,
-`unsaved_jobs`, `to_record` and `to_release` for the daemon to carry out.
+No I/O and no clock: the caller passes `now`, in seconds of the node's steady clock, and all times here are of that
+clock. Work that has to happen outside is left in `machines_to_command`, `unsaved_jobs`, `to_record` and `to_release`;
+the controller's leader loop carries it out.
 """
 
 import heapq
@@ -28,27 +29,35 @@
 from pepperlatch.settings import Params
 
 log = logging.getLogger(__name__)
-Key = tuple[str, int]
+Key = tuple[str, int]  # of an attempt: "JOB/TASK" and attempt number
 SILENT, SILENT_CANCELLED = "silent", "silent, perhaps with a cancelled task"
-PROCESS_AGE = ""  # in the answer of a node that may stand in: its process's age, among ages under machines' names
-SpecOf = Callable[[str], JobSpec | None]
+PROCESS_AGE = ""  # key of the process's age in a stand-in's promise, beside the ages under machines' names; in s
+SpecOf = Callable[[str], JobSpec | None]  # finds the spec of a job by its id
 
 
-def _fields(attempt: Attempt) -> dict[str, Any]:
-    """Of a line in the log."""
+def _log_fields(attempt: Attempt) -> dict[str, Any]:
+    """Return the structured fields of a log line about the attempt."""
     return {"job": attempt.job.spec.id, "task": attempt.task, "machine": attempt.machine.name}
 
 
 @dataclass(slots=True)
 class StandIn:
-    """What the leader knows of a controller that may keep leases alive in its place."""
+    """What the leader knows of a follower that may stand in for it, that is, renew workers' leases in its place."""
 
-    answered_at: float = float("-inf")  # when we last answered its contact
-    barred_until: float = float("-inf")  # it promised not to stand in before
-    began_at: float = float("inf")  # its process began no later; what an earlier one did, nobody can tell
+    answered_at: float = float("-inf")  # when the leader last answered its contact
+    promised_until: float = float("-inf")  # it promised not to stand in before this time
+    process_began_by: float = float("inf")  # its process began no later; what an earlier process did is unknown
 
 
 class Cluster:
+    """The state that one leader keeps during its term; created at takeover and discarded with the term.
+
+    `node` is the leader's name and `token` its fencing token. `hold_s`: seconds for which a controller may renew leases
+    after its last proof of leadership, or after its last contact with the leader. `spec_of` finds the spec of a job
+    that has ended but whose tasks may still be reported. `cancelled_since` returns the earliest time at which a user
+    may have been told that a job is cancelled; infinite if it is not.
+    """
+
     def __init__(
         self, node: str, token: int, params: Params, now: float, hold_s: float, spec_of: SpecOf,
         cancelled_since: CancelledSince = lambda job_id: math.inf,
@@ -57,28 +66,29 @@
         self.token = token
         self.params = params
         self.hold_s = hold_s
-        self.blind_until = now + hold_s + params.workers.lease_s * (1 + c.CLOCK_DRIFT)
-        self._spec_of = spec_of  # of a job that is over, whose tasks may still show up
+        # leases that an earlier leader renewed, and sessions that it commanded, have ended by then
+        self.earlier_leaders_until = now + hold_s + params.workers.lease_s * (1 + c.CLOCK_DRIFT)
+        self._spec_of = spec_of
         self._cancelled_since = cancelled_since
         self.types: dict[str, MachineType] = {}
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
-        self.removed_machines: dict[str, None] = {}
-        self.unknown_tasks: dict[str, dict[Key, TaskReport]] = {}
+        self.removed_machines: dict[str, None] = {}  # names that the cloud has confirmed to be gone
+        self.unknown_tasks: dict[str, dict[Key, TaskReport]] = {}  # by machine: reported, but not adopted, to be killed
         self.quota = Quota({team.name: team for team in params.teams})
-        self.unverified: set[str] = set()
+        self.unverified: set[str] = set()  # machines that may still run tasks of an earlier term that nobody reported
         self.cancelled = CancelledTasks(lambda job_id: self._cancelled_since(job_id), params.workers.cancel_s)
-        self.machines_to_command: set[Machine] = set()
-        self.unsaved_jobs: set[str] = set()
-        self.to_record: set[Machine] = set()
-        self.to_release: set[str] = set()
-        self.release_requested: set[str] = set()  # asked for; the cloud may carry that out at any time
-        self.dirty = True
-        self.higher_token = False
-        self._next = 0
-        self.started = now
-        self.stand_ins: dict[str, StandIn] = {}
-        self.peer_answered_at: dict[str, float] = {}  # when another controller last answered us
+        self.machines_to_command: set[Machine] = set()  # may have orders to be sent by direct command
+        self.unsaved_jobs: set[str] = set()  # have finished tasks that the state service does not hold yet
+        self.to_record: set[Machine] = set()  # to be written to the state service, which makes them usable
+        self.to_release: set[str] = set()  # to be returned to the cloud
+        self.release_requested: set[str] = set()  # the cloud was asked to take them; it may do that at any time
+        self.dirty = True  # something changed that the planner has not looked at
+        self.higher_token = False  # a report carried a higher token: another leader was elected
+        self._last_number = 0
+        self.started = now  # when this leader took over
+        self.stand_ins: dict[str, StandIn] = {}  # by controller
+        self.peer_answered_at: dict[str, float] = {}  # by controller: when it last answered this leader
         self.delegations = Delegations()
         self.images = ImageMemory()
         self.boot_times = BootTimes()
@@ -87,6 +97,7 @@
     # --- jobs -------------------------------------------------------------------------------------
 
     def add_job(self, spec: JobSpec, version: int, since: float, done: set[int], over: bool = False) -> Job:
+        """Add a job. `version`: of its record; `done`: its finished tasks; `over`: it has ended, nothing is queued."""
         job = Job(spec, version, since, version <= self.token, set(done), set(done), over=over)
         if not over:
             job.waiting = deque(task for task in range(spec.tasks) if task not in done)
@@ -98,7 +109,7 @@
         return job
 
     def end_job(self, job_id: str, now: float, done: bool = False) -> None:
-        """The job is cancelled or done: whatever of it still runs has to go."""
+        """The job is done or, by default, cancelled: stop every task of it that still runs."""
         job = self.jobs.get(job_id)
         if job is None:
             return
@@ -106,35 +117,36 @@
             self.add_unverified_cancellation(job.spec, job.spec.tasks - len(job.done) - len(job.live), now)
         job.over = True
         if not done:
-            self._stray_cancelled(job_id, now)
+            self._mark_unknown_tasks_cancelled(job_id, now)
         job.waiting.clear()
         self.unsaved_jobs.discard(job_id)
         for attempt in list(job.live.values()):
-            self._stop_over(attempt, now, cancelled=not done)
+            self._stop_ended_job(attempt, now, cancelled=not done)
         if not job.live:
             self.jobs.pop(job_id, None)
         self.dirty = True
 
-    def _stop_over(self, attempt: Attempt, now: float, cancelled: bool) -> None:
+    def _stop_ended_job(self, attempt: Attempt, now: float, cancelled: bool) -> None:
         self.stop(attempt, 0.0, "the job is over")
         if cancelled and (attempt.name, attempt.number) in attempt.machine.attempts:
             self.cancelled.may_hold(attempt.machine, attempt.name, attempt.job.spec.id, now)
 
-    def _stray_cancelled(self, job_id: str, now: float) -> None:
-        """A task that one machine shows though another runs it has to go with its job as well."""
+    def _mark_unknown_tasks_cancelled(self, job_id: str, now: float) -> None:
+        """Mark machines that report a task of the job although the task is known on another machine."""
         for name, tasks in self.unknown_tasks.items():
             machine = self.machines.get(name)
             for task, _ in tasks:
                 if machine is not None and task.rpartition("/")[0] == job_id:
                     self.cancelled.may_hold(machine, task, job_id, now)
 
-    def _may_hold_stray(self, machine: Machine, task: str, now: float) -> None:
+    def _mark_if_cancelled(self, machine: Machine, task: str, now: float) -> None:
+        """Mark the machine as a possible holder of a cancelled task if the job of this unknown task is cancelled."""
         job_id = task.rpartition("/")[0]
         if math.isfinite(self._cancelled_since(job_id)):
             self.cancelled.may_hold(machine, task, job_id, now)
 
     def _holds_cancelled(self, machine: Machine) -> bool:
-        """Whether a task of a job that is over may be there, as far as reports have shown."""
+        """Whether the machine's reports leave it possible that it holds a task of a job that has ended."""
         unknown_tasks = (task.rpartition("/")[0] for task, _ in self.unknown_tasks.get(machine.name, {}))
         return any(attempt.job.over for attempt in machine.attempts.values()) or any(
             job.over if (job := self.jobs.get(job_id)) is not None else self._spec_of(job_id) is not None
@@ -142,30 +154,38 @@
         )
 
     def add_unverified_cancellation(self, spec: JobSpec, unseen: int, now: float) -> None:
-        """The job was cancelled; so many of its tasks may yet be on machines that nobody can ask."""
+        """Note that a job was cancelled while `unseen` tasks of it may run on machines that are not verified yet."""
         if unseen > 0 and self.rebuilding():
             self.cancelled.add_unverified_cancellation(spec, unseen, now)
 
     def unverified_cancelled_since(self, now: float) -> float:
-        """Since when a job may have been cancelled that may have tasks on unaccounted machines; infinite: none was."""
+        """When the first job was cancelled that may have tasks on unverified machines; infinite if there is none."""
         return self.cancelled.unverified_cancelled_since(now) if self.rebuilding() else math.inf
 
     def cancelled_since(self, machine: Machine, unverified_cancelled_since: float) -> float:
         """Since when the machine may hold a task of a cancelled job; infinite if it holds none.
 
-        One that has not shown our token may hold more than its reports have shown, which may have been under way for
-        long: any task of a job that was cancelled lately.
+        Reports of a machine that has not shown this leader's token may have been delayed for long, so it may hold more
+        than they list: any task of a recently cancelled job. `unverified_cancelled_since` is the result of the method
+        of that name, computed once for all machines.
         """
-        unaccounted = machine.name in self.unverified
-        return min(machine.cancelled_since, unverified_cancelled_since) if unaccounted else machine.cancelled_since
+        unverified = machine.name in self.unverified
+        return min(machine.cancelled_since, unverified_cancelled_since) if unverified else machine.cancelled_since
 
     def latest_reporters(self) -> list[str]:
-        """Machines that others should reach if they reach any: asked too by one that does not reach a silent one."""
+        """Addresses of the machines that reported last.
+
+        A controller that is asked about a silent machine and does not reach it asks these as well: if it reaches none
+        of them it is cut off itself, and its failure says nothing about the silent machine.
+        """
         up = (m for m in self.machines.values() if m.status is Status.UP and m.last_report_at >= 0)
         return [m.addr for m in heapq.nlargest(c.WITNESS_ASKS, up, key=lambda m: (m.last_report_at, m.name))]
 
     def machines_with_cancelled_tasks(self, now: float) -> list[CancelledOn]:
-        """The machines that may hold a task of a cancelled job; those that were not heard of for longest first."""
+        """The machines that may hold a task of a cancelled job, the longest silent first; at most CANCELLED_TOLD_MOST.
+
+        Sent to the other controllers with each contact, so that they can act while nobody leads.
+        """
         unverified_cancelled_since = self.unverified_cancelled_since(now)
         found = [(m, self.cancelled_since(m, unverified_cancelled_since)) for m in self.machines.values() if m.addr]
         found = [(machine, since) for machine, since in found if math.isfinite(since)]
@@ -173,7 +193,7 @@
         return [CancelledOn(m.name, m.addr, now - since) for m, since in found[: c.CANCELLED_TOLD_MOST]]
 
     def explain(self, job: Job, reason: Reason, now: float) -> None:
-        """State why the job waits, or that it does not."""
+        """Set the stated reason of the job's wait, and notify the listener if its kind changed."""
         if job.explain(reason, now):
             self.listener.explained(job, now)
             if log.isEnabledFor(logging.DEBUG):
@@ -182,18 +202,22 @@
     # --- attempts ---------------------------------------------------------------------------------
 
     def new_number(self) -> int:
-        self._next += 1
-        return (self.token << c.ATTEMPT_SHIFT) + self._next
+        """A new attempt number: higher than all of this term and, by the token in its high bits, of earlier terms."""
+        self._last_number += 1
+        return (self.token << c.ATTEMPT_SHIFT) + self._last_number
 
     def place(self, job: Job, task: int, machine: Machine, now: float, number: int | None = None) -> Attempt:
-        """Counts against room and limits from here on. The caller has taken the task off `waiting`."""
+        """Plan a launch of the task. It counts against the machine's room and the team's limit from here on.
+
+        The caller has removed the task from `job.waiting`. `number`: one number for all tasks of a gang's attempt.
+        """
         attempt = Attempt(job, task, number or self.new_number(), machine, now)
         image = "held" if machine.holds_image(job.spec) else "fetching" if machine.fetches_image(job.spec) else "absent"
         self._register(attempt)
         self.listener.placed(attempt, now)
         log.info(
             "place %s try %d on %s, image %s", attempt.name, attempt.number, machine.name, image,
-            extra=_fields(attempt),
+            extra=_log_fields(attempt),
         )  # fmt: skip
         return attempt
 
@@ -205,30 +229,34 @@
         self.machines_to_command.add(machine)
 
     def stop(self, attempt: Attempt, grace_s: float, why: str) -> None:
+        """Have the attempt killed, with `grace_s` seconds to save its work; a later call can only shorten that.
+
+        It keeps its room until it is proven gone; one whose launch was never sent is removed at once.
+        """
         attempt.stop_reason = attempt.stop_reason or why
-        if attempt.wanted or grace_s < (attempt.kill_grace or 0.0):
-            attempt.kill_grace = grace_s
-            attempt.kill_sent = -1.0
+        if attempt.wanted or grace_s < (attempt.kill_grace_s or 0.0):
+            attempt.kill_grace_s = grace_s
+            attempt.kill_sent_at = -1.0
         if attempt.phase is Phase.PLANNED:
             self._lose(attempt, attempt.planned_at, why)
         self.machines_to_command.add(attempt.machine)
 
     def undo(self, attempt: Attempt) -> None:
-        """Take back a placement that was never sent."""
+        """Withdraw a placement that was never sent, and put its task back at the head of the queue."""
         self._remove(attempt, attempt.planned_at, "not sent")
         attempt.job.waiting.appendleft(attempt.task)
 
     def _lose(self, attempt: Attempt, now: float, cause: str) -> None:
-        """The task is proven gone from its machine, and has to start anew unless it is over.
+        """Remove an attempt that is proven gone from its machine, and queue its task again unless its job has ended.
 
-        Once only: the loss of one task of a gang takes along others that a caller may still have in its list, and
-        a task that waits twice runs twice.
+        A repeated call has no effect: the loss of one task of a gang removes others that a caller may still have in its
+        list, and a task that is queued twice runs twice.
         """
         if self._remove(attempt, now, cause):
             self._requeue(attempt, now)
 
     def _remove(self, attempt: Attempt, now: float, cause: str) -> bool:
-        """Whether it was there until now."""
+        """Remove the attempt and free its room; False if it was removed before."""
         machine, job = attempt.machine, attempt.job
         if not machine.drop(attempt):
             return False
@@ -242,11 +270,12 @@
         self.listener.ended(attempt, cause, now)
         return True
 
-    def _shown_elsewhere(self, attempt: Attempt, now: float) -> bool:
-        """Whether another machine shows the task, which was not taken for running there while this one was known.
+    def _adopt_elsewhere(self, attempt: Attempt, now: float) -> bool:
+        """Adopt the lost task on another machine that reports it; False if none does.
 
-        Seen after a takeover: a late report of a session that is over came before that of the machine on which the
-        task had been started anew since. What runs there is kept; to start it once more would run it twice.
+        That report was not adopted while this attempt was known. It happens after a takeover, when a late report of an
+        ended session arrives before the report of the machine on which the task had been restarted. What runs there is
+        kept: starting it once more would run it twice.
         """
         for name, tasks in self.unknown_tasks.items():
             machine = self.machines.get(name)
@@ -255,22 +284,23 @@
                     del tasks[key]
                     other = self._adopt(machine, task, now)
                     if other is not None:
-                        self._progress(other, task.state, now)
+                        self._update_state(other, task.state, now)
                         return True
         return False
 
     def _requeue(self, attempt: Attempt, now: float) -> None:
+        """Queue the task of a removed attempt first again, unless it is done, runs elsewhere or its job has ended."""
         job = attempt.job
         if job.spec.kind is Kind.GANG:
-            self._gang_lost(job, attempt.number)
+            self._stop_rest_of_gang(job, attempt.number)
         if job.over:
             if not job.live:
                 self.jobs.pop(job.spec.id, None)
-        elif attempt.task not in job.done and attempt.task not in job.live and not self._shown_elsewhere(attempt, now):
+        elif attempt.task not in job.done and attempt.task not in job.live and not self._adopt_elsewhere(attempt, now):
             job.waiting.appendleft(attempt.task)
 
-    def _gang_lost(self, job: Job, number: int) -> None:
-        """A gang lives or dies together: the rest of that attempt must be gone before it starts again."""
+    def _stop_rest_of_gang(self, job: Job, number: int) -> None:
+        """Stop the other tasks of a gang's attempt: all of them must be gone before the gang starts again."""
         for other in list(job.live.values()):
             if other.number == number and other.wanted and other.state in (None, TaskState.FETCHING, TaskState.WAITING):
                 self.stop(other, 0.0, "its gang lost a task")
@@ -280,10 +310,13 @@
     def on_report(
         self, report: Report, now: float, heartbeat: bool, through_others: bool = False, asked_at: float = float("-inf")
     ) -> Machine | None:
-        """Take in a report; None for machines that are gone or of an unknown type.
+        """Apply a worker's report, and return its machine.
 
-        `heartbeat`: it waits for an answer with orders. `through_others`: another controller asked the worker; what
-        we want of it cannot go back that way. `asked_at`: it is the answer to a question that was sent then.
+        None if the report is ignored: its machine is gone or of an unknown type, it is too old to be trusted, or it
+        carries a higher token (`higher_token` is set then, and the leader steps down).
+
+        `heartbeat`: the worker waits for an answer with orders. `through_others`: another controller asked the worker,
+        so no orders can go back that way. `asked_at`: when the question was sent that the report answers.
         """
         if report.token > self.token:
             self.higher_token = True
@@ -291,22 +324,22 @@
         if report.machine in self.removed_machines:
             return None
         if report.machine not in self.machines and report.tasks and report.token < self.token:
-            return None  # recorded before its first launch, until it is gone: this was said before it was returned
-        machine = self.machines.get(report.machine) or self._meet(report, now)
+            return None  # its record lasts from before its first launch until it is gone: this predates its return
+        machine = self.machines.get(report.machine) or self._add_unlisted(report, now)
         if machine is None:
             return None
         if (report.session, report.seq) <= (machine.session, machine.seq):
-            self._older(machine, asked_at)
+            self._out_of_order(machine, asked_at)
             return machine
         if report.session <= machine.last_ended_session:
-            return machine  # late: nothing that it shows is there any more
+            return machine  # a late report of an ended session: nothing that it lists runs any more
         if heartbeat:
-            self._heard(machine, report)
+            self._check_answer_delivery(machine, report)
         if report.session > machine.session:
-            self._all_gone(machine, now, "its worker began anew")
-            machine.began_by = now  # nobody may have answered this session yet: its lease runs from its beginning
+            self._lose_all(machine, now, "its worker began anew")
+            machine.began_by = now  # possibly nobody answered this session yet: its lease runs from its beginning
             if machine.session and not heartbeat:
-                machine.heartbeat_at = -1.0  # its lease ended, and it has not reported since: it may reach nobody
+                machine.heartbeat_at = -1.0  # its lease ended and no heartbeat came since: it may reach no controller
         machine.session, machine.seq, machine.addr = report.session, report.seq, report.addr
         machine.newest_message_at = now
         machine.last_report_at, machine.probes, machine.isolated_probes = now, 0, 0
@@ -315,69 +348,87 @@
         if heartbeat:
             machine.heartbeat_at = now
         if report.notice_s is not None:
-            self._noticed(machine, now + report.notice_s)
-        if machine.leaves_silent and machine.name not in self.release_requested:
-            log.info("%s is heard of again", machine.name)
-            machine.status, machine.leaves_silent, machine.return_needs_lease = Status.UP, False, True
+            self._set_reclaim_time(machine, now + report.notice_s)
+        if machine.released_as_silent and machine.name not in self.release_requested:
+            log.info("machine %s reports again; its return for silence is called off", machine.name)
+            machine.status, machine.released_as_silent, machine.return_needs_lease = Status.UP, False, True
             self.to_release.discard(machine.name)
-        self._account(machine, report, now)
-        self._tasks(machine, report, now, heartbeat)
+        self._verify(machine, report, now)
+        self._update_tasks(machine, report, now, heartbeat)
         if math.isfinite(machine.cancelled_since) and not self._holds_cancelled(machine):
             self.cancelled.holds_none(machine, now)
         return machine
 
-    def _noticed(self, machine: Machine, at: float) -> None:
-        """The cloud takes the machine then, or sooner: each report may have been under way for seconds."""
+    def _set_reclaim_time(self, machine: Machine, at: float) -> None:
+        """Set when the cloud reclaims the machine at the latest.
+
+        The earliest time of all notices counts, since each report may have been delayed by seconds.
+        """
         if machine.reclaim_at is None:
             self.dirty = True
         machine.reclaim_at = at if machine.reclaim_at is None else min(machine.reclaim_at, at)
 
-    def _heard(self, machine: Machine, report: Report) -> None:
-        """Whether our answers arrive there. A worker reports again only once it has the last answer or has dropped it.
+    def _check_answer_delivery(self, machine: Machine, report: Report) -> None:
+        """Conclude from a heartbeat whether earlier answers reached the worker.
 
-        So a later report without our token disproves all answers of ours: they renewed no lease. Else a machine that
-        reports and hears nothing would keep the tasks of all older jobs waiting for as long as that lasts.
+        A worker reports again only once it has received the last answer or has given up on it. So a later report
+        without this leader's token proves that none of the leader's answers arrived, and that they renewed no lease.
+        Otherwise a machine that sends reports but receives nothing would keep the tasks of all older jobs waiting for
+        as long as that lasts.
         """
         if report.token < self.token and not machine.fenced and machine.answered_at >= 0:
             machine.answered_at = -1.0
-        if machine.offered is not None and report.seq > machine.offered[0]:
+        if machine.offered_launches is not None and report.seq > machine.offered_launches[0]:
             shown = {(task.task, task.attempt) for task in report.tasks}
-            arrived = report.session == machine.session and not shown.isdisjoint(machine.offered[1])
+            arrived = report.session == machine.session and not shown.isdisjoint(machine.offered_launches[1])
             machine.lost_answers = 0 if arrived else machine.lost_answers + 1
-            machine.offered = None
+            machine.offered_launches = None
             if machine.lost_answers == c.UNHEARD_MOST:
-                log.info("%s does not hear us", machine.name, extra={"machine": machine.name})
+                log.info(
+                    "machine %s reports but did not receive our last launches; it gets no new tasks until it does",
+                    machine.name, extra={"machine": machine.name},
+                )  # fmt: skip
 
-    def _older(self, machine: Machine, asked_at: float) -> None:
-        """A message with an older number is late, unless it answers what was asked after the newest had come.
+    def _out_of_order(self, machine: Machine, asked_at: float) -> None:
+        """Handle a report that is not newer than the newest one known.
 
-        Numbers grow with every message of a worker. One that counts from the beginning has lost its tasks and its
-        token, and would carry out what was held for it before: only the machine's return proves that gone.
+        It is late and ignored, unless it answers a question that was asked after the newest report came: numbers grow
+        with every message of a worker, so this worker has restarted its count. It has lost its tasks and its token, and
+        would carry out delayed commands that were sent to it before. Only the machine's return rules that out.
         """
         if asked_at > machine.newest_message_at:
             self.release(machine, "its worker began anew under old numbers")
 
-    def _meet(self, report: Report, now: float) -> Machine | None:
+    def _add_unlisted(self, report: Report, now: float) -> Machine | None:
+        """Add a machine that is neither recorded nor listed; None if its type is unknown."""
         kind = self.types.get(report.type)
         if kind is None:
             return None
-        log.info("unexpected machine %s (%s %s)", report.machine, report.type, report.zone)
+        log.info(
+            "machine %s (%s, zone %s) is not on record but reports; it joins once it shows our token or is listed",
+            report.machine, report.type, report.zone,
+        )  # fmt: skip
         machine = Machine(report.machine, kind, report.zone, report.spot, report.addr, Status.BOOTING, now)
         machine.unexpected = True
         self.machines[machine.name] = machine
         return machine
 
-    def _account(self, machine: Machine, report: Report, now: float) -> None:
-        """One that nobody rented or listed may be an old report only: it has to show that it has heard us."""
+    def _verify(self, machine: Machine, report: Report, now: float) -> None:
+        """Fence and verify a machine that reports this leader's token, and let a booting machine join.
+
+        The report of a machine that was neither rented nor listed may be an old one that was delayed: such a machine
+        joins only once it has reported this leader's token or the cloud has listed it.
+        """
         if report.token == self.token and not machine.fenced:
             machine.fenced = True
-            machine.began_by = now  # until then an earlier leader may have answered it
-            self._accounted(machine.name, now)
+            machine.began_by = now  # until now an earlier leader may have answered it
+            self._mark_verified(machine.name, now)
         if machine.status is Status.BOOTING and (machine.fenced or machine.listed or not machine.unexpected):
             machine.status = Status.JOINING
             self.to_record.add(machine)
 
-    def _accounted(self, name: str, now: float) -> None:
+    def _mark_verified(self, name: str, now: float) -> None:
+        """Nothing unreported of an earlier term runs on the machine any more."""
         if name in self.unverified:
             self.unverified.discard(name)
             self.dirty = True
@@ -387,6 +438,7 @@
                 self.listener.noted("takeover", took, now)
 
     def recorded(self, name: str, now: float) -> None:
+        """The state service holds the machine's record: it may be given tasks."""
         machine = self.machines.get(name)
         if machine is not None and machine.status is Status.JOINING:
             machine.status = Status.UP
@@ -398,29 +450,30 @@
             log.info("machine %s up after %.1f s", name, now - machine.created_at, extra={"machine": name})
             self.listener.machine(machine, "up", "", now)
 
-    def _tasks(self, machine: Machine, report: Report, now: float, heartbeat: bool) -> None:
+    def _update_tasks(self, machine: Machine, report: Report, now: float, heartbeat: bool) -> None:
+        """Bring the machine's attempts in line with the newest report."""
         shown = {(t.task, t.attempt): t for t in report.tasks}
         machine.ended = {key: t for key, t in shown.items() if t.state is TaskState.EXITED}
-        machine.unreaped = {key: until for key, until in machine.unreaped.items() if key in machine.ended}
+        machine.reap_not_before = {key: until for key, until in machine.reap_not_before.items() if key in machine.ended}
         unknown_tasks = {}
         for key, task in shown.items():
             attempt = machine.attempts.get(key)
             if task.state is TaskState.EXITED:
                 self._exited(machine, attempt, task, now)
             elif attempt is not None or (attempt := self._adopt(machine, task, now)) is not None:
-                self._progress(attempt, task.state, now)
+                self._update_state(attempt, task.state, now)
             else:
                 unknown_tasks[key] = task
-                self._may_hold_stray(machine, key[0], now)
+                self._mark_if_cancelled(machine, key[0], now)
         if unknown_tasks:
             self.unknown_tasks[machine.name] = unknown_tasks
         else:
             self.unknown_tasks.pop(machine.name, None)
         for key, attempt in list(machine.attempts.items()):
             if key not in shown:
-                self._absent(machine, key, attempt, report.seq, heartbeat, now)
+                self._missing(machine, key, attempt, report.seq, heartbeat, now)
 
-    def _progress(self, attempt: Attempt, state: TaskState, now: float) -> None:
+    def _update_state(self, attempt: Attempt, state: TaskState, now: float) -> None:
         if attempt.phase is not Phase.CONFIRMED:
             attempt.phase = Phase.CONFIRMED
             self.machines_to_command.add(attempt.machine)
@@ -441,18 +494,19 @@
         self.images.used(machine.name, spec.image, spec.image_gb)
 
     def load_image_memory(self) -> None:
-        """What an earlier leader knew of the machines' images; a guess, until tasks are seen running."""
+        """Fill the machines' image lists from what an earlier leader told; a guess until tasks are seen running."""
         for _, machine, image, gb in list(self.images.on(self.machines)):
             self.machines[machine].used_image(image, gb)
 
-    def _absent(self, machine: Machine, key: Key, attempt: Attempt, seq: int, heartbeat: bool, now: float) -> None:
-        """Not in the newest report. Only a launch sent in a report's answer is disproved by that.
+    def _missing(self, machine: Machine, key: Key, attempt: Attempt, seq: int, heartbeat: bool, now: float) -> None:
+        """Handle an attempt that the newest report does not list.
 
-        A direct launch may still be in flight, for minutes if a cut holds it: it stays "possibly there".
+        That proves a task gone which was reported before, and a launch lost that was sent in the answer to an earlier
+        heartbeat. A direct launch may still be in flight, for minutes if the network delays it: it stays UNCONFIRMED.
         """
-        if attempt.phase is Phase.CONFIRMED and key not in machine.sticky:
+        if attempt.phase is Phase.CONFIRMED and key not in machine.in_flight:
             self._lose(attempt, now, "not on its machine any more")
-        elif attempt.phase is Phase.SENT and heartbeat and 0 <= attempt.sent_seq < seq and key not in machine.sticky:
+        elif attempt.phase is Phase.SENT and heartbeat and 0 <= attempt.sent_seq < seq and key not in machine.in_flight:
             attempt.phase = Phase.PLANNED
             if not attempt.wanted:
                 self._lose(attempt, now, attempt.stop_reason)
@@ -461,10 +515,10 @@
             self.machines_to_command.add(machine)
 
     def _adopt(self, machine: Machine, task: TaskReport, now: float) -> Attempt | None:
-        """A running task that this leader has not started: an earlier leader did.
+        """Take over a reported task that an earlier leader started; None if it stays unknown and is killed.
 
-        A task is started anew only once it is proven gone, and numbers grow. So of two attempts that are shown the one
-        with the smaller number is old news, though it may have come first; it counts until it is proven gone.
+        A task is restarted only once it is proven gone, and attempt numbers grow. So of two reported attempts the one
+        with the smaller number is outdated, even if it was reported first; it counts until it is proven gone.
         """
         parts = split_task(task.task)
         if parts is None:
@@ -481,34 +535,37 @@
                 return None
             self.stop(known, 0.0, "started anew elsewhere since")
         else:
-            self.cancelled.seen(job.spec.id)
+            self.cancelled.task_reported(job.spec.id)
         attempt = Attempt(job, parts[1], task.attempt, machine, now, Phase.CONFIRMED)
         self._register(attempt)
         if parts[1] in job.waiting:
             job.waiting.remove(parts[1])
-        if job.over or parts[1] in job.done:  # every task of it, not only the first one that shows up
-            self._stop_over(attempt, now, cancelled=job.over)
+        if job.over or parts[1] in job.done:  # for each task of the job, not only the first one that is reported
+            self._stop_ended_job(attempt, now, cancelled=job.over)
         return attempt
 
     def _exited(self, machine: Machine, attempt: Attempt | None, task: TaskReport, now: float) -> None:
+        """Handle a task that is reported as exited; `attempt` is None if this leader knows no such attempt."""
         parts = split_task(task.task)
         job = self.jobs.get(parts[0]) if parts else None
         if attempt is not None:
             log.info(
-                "%s try %d on %s ended: %s", task.task, task.attempt, machine.name, task.why.value if task.why else "",
-                extra=_fields(attempt),
+                "task %s try %d on %s exited: %s",
+                task.task, task.attempt, machine.name, task.why.value if task.why else "",
+                extra=_log_fields(attempt),
             )  # fmt: skip
             cause = task.why.value if task.why else "ended"
             self._remove(attempt, now, (task.why is Cause.STOPPED and attempt.stop_reason) or cause)
         if attempt is not None and attempt.sent_seq < 0 and task.why is not Cause.DONE:
-            machine.unreaped[(task.task, task.attempt)] = now + c.COPIES_S
+            machine.reap_not_before[(task.task, task.attempt)] = now + c.COPIES_S
         if parts and job is not None and task.why is Cause.DONE:
             self._finished(job, parts[1], attempt, now)
         if attempt is not None:
-            self._judge(machine, attempt, task, now)
+            self._count_result(machine, attempt, task, now)
             self._requeue(attempt, now)
 
     def _finished(self, job: Job, task: int, attempt: Attempt | None, now: float) -> None:
+        """The task is done, and with it all tasks of a gang; its machine gets credit for the success."""
         if task >= job.spec.tasks or task in job.done or job.over:
             return
         job.done.update(range(job.spec.tasks) if job.spec.kind is Kind.GANG else [task])
@@ -525,8 +582,12 @@
                 attempt.machine.pace.append((now - attempt.running_at) / job.spec.estimate_s)
                 del attempt.machine.pace[: -2 * c.SLOW_SAMPLES]
 
-    def _judge(self, machine: Machine, attempt: Attempt, task: TaskReport, now: float) -> None:
-        """Errors count against the machine, and against the job once several machines saw them."""
+    def _count_result(self, machine: Machine, attempt: Attempt, task: TaskReport, now: float) -> None:
+        """Count a task's error against its machine, or against the job once it failed on several machines.
+
+        A machine with errors of several tasks in a row is quarantined; a job at fault pauses, longer each time. A task
+        that the worker could not start pauses its job for JOB_BACKOFF_S seconds.
+        """
         job = attempt.job
         if task.why is Cause.ERROR:
             if now - machine.failed_at > c.ERROR_WINDOW_S:
@@ -542,66 +603,70 @@
                 machine.quarantined = True
                 self.listener.machine(machine, "quarantined", "two tasks failed in a row", now)
                 failed = sorted(machine.failed_tasks)
-                log.info("quarantine %s: failed %s", machine.name, failed, extra={"machine": machine.name})
+                log.info(
+                    "machine %s quarantined: tasks %s failed there in a row; it gets no new tasks",
+                    machine.name, failed, extra={"machine": machine.name},
+                )  # fmt: skip
         elif task.why is Cause.DONE:
             job.failed_on.discard(machine.name)
         elif task.why in wire.TASK_BLOCKERS:
             job.not_before = now + c.JOB_BACKOFF_S
 
     def machines_to_relay(self, now: float) -> list[str]:
-        """Machines that only other controllers reach: they are to pass on their reports at once."""
+        """Names of the machines that only other controllers reach: these are to forward their reports at once."""
         return [m.name for m in self.machines.values() if now < m.relay_until]
 
-    # --- machines going ---------------------------------------------------------------------------
+    # --- machines that leave or whose lease ends --------------------------------------------------
 
-    def _all_gone(self, machine: Machine, now: float, why: str) -> None:
-        """A new session, or the machine itself is gone: nothing of the old one runs or can still start."""
-        machine.sticky.clear()
+    def _lose_all(self, machine: Machine, now: float, why: str) -> None:
+        """Remove all attempts: the machine is gone or its session has ended, so none runs or can still start."""
+        machine.in_flight.clear()
         machine.ended.clear()
         self.unknown_tasks.pop(machine.name, None)
         for attempt in list(machine.attempts.values()):
             self._lose(attempt, now, why)
 
     def remove_machine(self, name: str, now: float) -> None:
-        """The cloud has confirmed that the machine is no more."""
+        """The cloud has confirmed that the machine is gone; its tasks are queued again."""
         machine = self.machines.pop(name, None)
         self.delegations.forget(name)
         self.removed_machines[name] = None
-        self._accounted(name, now)
+        self._mark_verified(name, now)
         self.to_release.discard(name)
         self.release_requested.discard(name)
         if machine is not None:
-            self._all_gone(machine, now, f"machine returned: {machine.release_reason}")
+            self._lose_all(machine, now, f"machine returned: {machine.release_reason}")
             self.listener.machine(machine, "gone", machine.release_reason, now)
             self.machines_to_command.discard(machine)
             self.to_record.discard(machine)
         self.dirty = True
 
     def release(self, machine: Machine, why: str) -> None:
+        """Have the machine returned to the cloud. Its tasks count as running until the cloud confirms its end."""
         if machine.status is not Status.LEAVING:
-            log.info("return %s: %s", machine.name, why, extra={"machine": machine.name})
+            log.info("machine %s is returned to the cloud: %s", machine.name, why, extra={"machine": machine.name})
             machine.status = Status.LEAVING
-            machine.leaves_silent = why in (SILENT, SILENT_CANCELLED)
+            machine.released_as_silent = why in (SILENT, SILENT_CANCELLED)
             machine.release_reason = why
             self.to_record.discard(machine)
             self.to_release.add(machine.name)
 
     def lease_over(self, machine: Machine, now: float) -> bool:
-        """Whether the session that we know of has surely ended, with all that was in it or is on its way into it.
+        """Whether the machine's known session has surely ended, with every task in it and every launch sent into it.
 
-        It ends a lease after it began or was last answered, whichever is later: by us, by a follower on our
-        delegation, by one that stands in for us, or, as long as the worker has not seen our token, by an earlier
-        leader. What we sent into it counts from its beginning; what an earlier leader sent, from the end of that one's
-        time (`blind_until`).
+        A session ends one lease after it began or was last answered, whichever is later. It may have been answered by
+        this leader, by a follower with a delegation, by a stand-in or, as long as the worker has not shown this
+        leader's token, by an earlier leader. Launches that this leader sent count from the session's beginning; those
+        of an earlier leader count from the end of that leader's time (`earlier_leaders_until`).
         """
         lease_s = self.params.workers.lease_s * (1 + c.CLOCK_DRIFT) + c.LEASE_MARGIN_S
         last = max(machine.answered_at, self.delegations.answered_until(machine.name))
         if machine.name not in self.unverified:
             last = max(last, machine.began_by)
         if not machine.fenced:
-            last = max(last, self.blind_until + c.LEASE_MARGIN_S - lease_s)
+            last = max(last, self.earlier_leaders_until + c.LEASE_MARGIN_S - lease_s)
         return now > last + lease_s and all(
-            (now <= other.barred_until and now > other.began_at + lease_s)
+            (now <= other.promised_until and now > other.process_began_by + lease_s)
             or now > other.answered_at + self.hold_s + lease_s
             for other in self.stand_ins.values()
         )
@@ -609,7 +674,7 @@
     # --- delegated heartbeats ---------------------------------------------------------------------
 
     def can_delegate(self, machine: Machine) -> bool:
-        """Whether the machine's last report wants no order and tells nothing that is still to be dealt with."""
+        """Whether a follower may answer repetitions of the machine's last report: nothing is left to handle."""
         return (
             machine.status is Status.UP
             and machine.fenced
@@ -617,14 +682,17 @@
             and machine.name not in self.unknown_tasks
             and not machine.ended
             and not machine.lost_answers
-            and machine.offered is None
+            and machine.offered_launches is None
             and machine.reclaim_at is None
             and math.isinf(machine.cancelled_since)
             and all(attempt.phase is Phase.CONFIRMED and attempt.wanted for attempt in machine.attempts.values())
         )
 
     def delegate(self, follower: str, statement: DelegationStatement, until: float, now: float) -> DelegationAnswer:
-        """Take in what a follower holds, and let it answer heartbeats until then."""
+        """Apply a follower's statement of the grants that it holds, and extend its delegation until `until`.
+
+        The answer revokes the grants of machines that need the leader again or have begun a new session.
+        """
         for last in self.delegations.take(follower, statement, now):
             machine = self.machines.get(last.machine)
             if machine is not None:
@@ -635,12 +703,15 @@
             if machine is None or machine.session != grant.session or not self.can_delegate(machine):
                 revoked.append(grant.machine)
             elif grant.heard_s >= 0:
-                self._heard_through(machine, grant.heard_s, now)
+                self._heard_by_follower(machine, grant.heard_s, now)
         self.delegations.extend(follower, until)
         return DelegationAnswer(max(0.0, until - now), self.delegations.number, revoked)
 
-    def _heard_through(self, machine: Machine, heard_s: float, now: float) -> None:
-        """A follower has answered its heartbeat; until the next one is late it counts as heard of."""
+    def _heard_by_follower(self, machine: Machine, heard_s: float, now: float) -> None:
+        """A follower answered the machine's heartbeat `heard_s` seconds ago.
+
+        Until its next heartbeat is late the machine counts as reporting now; after that, from the follower's answer.
+        """
         if heard_s <= c.DELEGATION_LATE_REPORTS * self.params.workers.report_s:
             machine.last_report_at = machine.reached_at = machine.heartbeat_at = now
             machine.probes = machine.isolated_probes = 0
@@ -651,48 +722,56 @@
         machine.heartbeat_at = min(machine.heartbeat_at, heard_at)
 
     def answered_peer(self, peer: str, now: float) -> None:
-        """From here on the other controller may stand in for us, until `hold_s` after it asked."""
+        """This leader answers a peer's contact: from now on the peer may stand in, until `hold_s` s after it asked."""
         self.stand_ins.setdefault(peer, StandIn()).answered_at = now
 
     def on_promise(self, peer: str, stood_in: dict[str, float], until: float, now: float) -> None:
-        """The other controller will not stand in until then; for whom it did, and how long ago, it tells.
+        """A peer promises not to stand in before `until`, and says which machines it answered as a stand-in.
 
-        It remembers only what its present process did: that began so long ago as stands under PROCESS_AGE. Without it
-        (an earlier version) the promise counts for nothing, and only time does.
+        `stood_in`: by machine, seconds since that answer. The peer remembers only what its present process did, whose
+        age in seconds is under PROCESS_AGE. Without an age (a peer of an earlier version) the promise has no effect,
+        and only the passing of time proves that the peer does not stand in.
         """
         self.peer_answered_at[peer] = now
         other, began_s = self.stand_ins.get(peer), stood_in.get(PROCESS_AGE)
         if other is not None and began_s is not None:
-            other.barred_until = until
-            other.began_at = now - began_s
+            other.promised_until = until
+            other.process_began_by = now - began_s
         for name, ago_s in stood_in.items():
             machine = self.machines.get(name)
             if machine is not None:
                 machine.answered_at = max(machine.answered_at, now - max(0.0, ago_s))
 
     def expire(self, now: float) -> None:
+        """Remove the attempts of all machines whose lease has surely ended, and count these machines as verified."""
         for machine in list(self.machines.values()):
             holds = machine.attempts or machine.name in self.unverified
             if holds and machine.status in (Status.UP, Status.LEAVING) and self.lease_over(machine, now):
-                log.info("the lease of %s is over", machine.name, extra={"machine": machine.name})
-                machine.last_ended_session = machine.session  # what was sent into it can never be carried out
-                self._all_gone(machine, now, "its machine's lease is over")
-                self._accounted(machine.name, now)
+                log.info(
+                    "the lease of machine %s has ended; its tasks count as gone, those of unfinished jobs are queued",
+                    machine.name, extra={"machine": machine.name},
+                )  # fmt: skip
+                machine.last_ended_session = machine.session  # what was sent into it can no longer be carried out
+                self._lose_all(machine, now, "its machine's lease is over")
+                self._mark_verified(machine.name, now)
                 self.dirty = True
 
     # --- orders -----------------------------------------------------------------------------------
 
     def orders_for_heartbeat(self, machine: Machine, sure: bool, now: float) -> list[dict[str, Any]]:
-        """Orders for the answer to the machine's newest report; settled by its next report."""
+        """Orders for the answer to the machine's newest report; its next report shows whether they arrived.
+
+        `sure`: this leader's lease cannot have ended. Only then finished tasks may be reaped.
+        """
         orders: list[dict[str, Any]] = []
-        offered = set()
+        offered_launches = set()
         for key, attempt in list(machine.attempts.items()):
             absent = attempt.phase is not Phase.CONFIRMED
-            more = self._order(attempt, machine.seq, now)
+            more = self._orders_for(attempt, machine.seq, now)
             orders += more
             if absent and more:
-                offered.add(key)
-        machine.offered = (machine.seq, frozenset(offered)) if offered else None
+                offered_launches.add(key)
+        machine.offered_launches = (machine.seq, frozenset(offered_launches)) if offered_launches else None
         for name, number in self.unknown_tasks.get(machine.name, {}):
             orders.append(wire.kill(name, number, 0.0))
         if sure:
@@ -702,17 +781,19 @@
         return orders
 
     def _reapable(self, machine: Machine, key: Key, task: TaskReport, now: float) -> bool:
-        """A finished task only once that is saved; never one whose launch may still arrive: it would run again.
+        """Whether the worker may forget an exited task: once the result is saved and no launch of it can arrive.
 
-        A copy of a direct launch may come though the launch was answered; what is done ends at once if it does.
+        A launch that arrives after the reap would run the task again. A copy of a direct launch may arrive although the
+        launch was answered; only if the task is done this does no harm, for the task then ends at once.
         """
-        if key in machine.sticky or key in machine.attempts or now < machine.unreaped.get(key, 0.0):
+        if key in machine.in_flight or key in machine.attempts or now < machine.reap_not_before.get(key, 0.0):
             return False
         parts = split_task(task.task)
         job = self.jobs.get(parts[0]) if parts else None
         return job is None or task.why is not Cause.DONE or (parts is not None and parts[1] in job.saved)
 
-    def _order(self, attempt: Attempt, seq: int, now: float) -> list[dict[str, Any]]:
+    def _orders_for(self, attempt: Attempt, seq: int, now: float) -> list[dict[str, Any]]:
+        """Orders for one attempt, if any. `seq`: number of the report to be answered; -1 for a direct command."""
         heartbeat = seq >= 0
         name, number = attempt.name, attempt.number
         if attempt.phase is Phase.PLANNED or (attempt.phase is Phase.UNCONFIRMED and heartbeat):
@@ -720,28 +801,32 @@
             if attempt.phase is Phase.PLANNED:
                 attempt.phase = Phase.SENT
                 attempt.sent_seq = seq
-            if not attempt.wanted:  # holding it, ended, is what makes a late launch harmless
+            if not attempt.wanted:  # a worker that holds it as exited ignores a launch that arrives late
                 orders.append(wire.kill(name, number, 0.0))
             return orders
-        if not attempt.wanted and attempt.phase is Phase.CONFIRMED and now - attempt.kill_sent >= c.KILL_REPEAT_S:
-            grace = attempt.kill_grace or 0.0
-            attempt.kill_sent = now
+        if not attempt.wanted and attempt.phase is Phase.CONFIRMED and now - attempt.kill_sent_at >= c.KILL_REPEAT_S:
+            grace = attempt.kill_grace_s or 0.0
+            attempt.kill_sent_at = now
             return [wire.kill(name, number, grace)]
         return []
 
     def orders_direct(self, machine: Machine, now: float) -> tuple[list[dict[str, Any]], list[Attempt]]:
+        """Orders for a direct command, and the attempts that it launches, to be passed on to `direct_result`."""
         orders: list[dict[str, Any]] = []
         launched: list[Attempt] = []
         for attempt in list(machine.attempts.values()):
             planned = attempt.phase is Phase.PLANNED
-            more = self._order(attempt, -1, now)
+            more = self._orders_for(attempt, -1, now)
             orders += more
             if planned and more:
                 launched.append(attempt)
         return orders, launched
 
     def direct_result(self, machine: Machine, launched: list[Attempt], executed: bool | None, now: float) -> None:
-        """executed: True, False (surely not), or None (no answer: it may happen minutes from now)."""
+        """Apply the outcome of a direct command.
+
+        `executed`: True, False (surely not), or None (no answer: the worker may carry it out minutes from now).
+        """
         if executed:
             machine.lost_answers = 0
         for attempt in launched:
@@ -750,54 +835,56 @@
                 continue
             if executed is None:
                 attempt.phase = Phase.UNCONFIRMED
-                machine.sticky.add(key)
+                machine.in_flight.add(key)
             else:
                 attempt.phase = Phase.PLANNED
                 if not attempt.wanted:
                     self._lose(attempt, now, attempt.stop_reason)
         if executed is not True:
             for attempt in machine.attempts.values():
-                attempt.kill_sent = -1.0
+                attempt.kill_sent_at = -1.0
 
     # --- after taking over ------------------------------------------------------------------------
 
     def rebuilding(self) -> bool:
+        """Whether machines are left that this leader has not verified since it took over."""
         return bool(self.unverified)
 
     def count_unverified_usage(self) -> None:
-        """While machines are unaccounted for, unseen older tasks may be running: they use their limits.
+        """Count tasks that may run unseen against their teams' limits.
 
-        Those of jobs that were cancelled as well, and no more than these machines hold. So does what a machine shows
-        though another is known to run it.
+        While machines are unverified these are the unreported tasks of jobs from earlier terms, also of cancelled jobs,
+        up to the capacity of these machines. Tasks that a machine reports although another one is known to run them
+        count at all times.
         """
-        hidden: dict[str, Usage] = {}
+        usage: dict[str, Usage] = {}
         if self.rebuilding():
             for job in self.jobs.values():
                 if job.from_earlier_term and not job.over:
                     unseen = job.spec.tasks - len(job.done) - len(job.live)
-                    hidden.setdefault(job.spec.team, Usage()).add(job.spec, unseen)
+                    usage.setdefault(job.spec.team, Usage()).add(job.spec, unseen)
             for gone in self.cancelled.unverified.values():
-                hidden.setdefault(gone.spec.team, Usage()).add(gone.spec, gone.unseen)
-            self._cap(hidden)
+                usage.setdefault(gone.spec.team, Usage()).add(gone.spec, gone.unseen)
+            self._cap_usage(usage)
         else:
             self.cancelled.unverified.clear()
-        for tasks in self.unknown_tasks.values():  # none that has exited is among them
+        for tasks in self.unknown_tasks.values():  # holds no exited tasks
             for name, _ in tasks:
-                if (spec := self._spec(name)) is not None:
-                    hidden.setdefault(spec.team, Usage()).add(spec, 1)
-        self.quota.unverified = hidden
+                if (spec := self._spec_of_task(name)) is not None:
+                    usage.setdefault(spec.team, Usage()).add(spec, 1)
+        self.quota.unverified = usage
 
-    def _cap(self, hidden: dict[str, Usage]) -> None:
-        """A worker refuses what it has no room for: so no more is hidden than its machine holds."""
+    def _cap_usage(self, usage: dict[str, Usage]) -> None:
+        """Limit the usage to the unverified machines' capacity: a worker refuses tasks that it has no room for."""
         machines = [self.machines.get(name) for name in self.unverified]
         known = [machine for machine in machines if machine is not None]
         if len(known) < len(machines):
-            return  # of an unknown type
+            return  # the capacity of a machine of an unknown type is not known
         cpus, gpus = sum(m.type.cpus for m in known), sum(m.type.gpus for m in known)
-        for use in hidden.values():
+        for use in usage.values():
             use.cpus, use.gpus = min(use.cpus, cpus), min(use.gpus, gpus)
 
-    def _spec(self, task: str) -> JobSpec | None:
+    def _spec_of_task(self, task: str) -> JobSpec | None:
         parts = split_task(task)
         if parts is None:
             return None
--- a/pepperlatch/policy/delegation.py
+++ b/pepperlatch/policy/delegation.py
@@ -1,10 +1,11 @@
-"""Which followers may answer machines' unchanged heartbeats in the leader's place. The leader's side; no I/O, no clock.
+"""Tracks which followers may answer machines' unchanged heartbeats in the leader's place. No I/O, no clock.
 
-A grant says: this machine's last heartbeat, as the leader took it in, wants nothing but the renewal of its lease. The
-follower that forwarded it may answer the same again, until the end of its delegation. Each follower states all that
-it holds with every contact, and the leader answers with what it revokes and a new end. Grants are numbered within a
-term; the number that an answer names is the follower's floor from then on: it installs no grant up to it any more.
-So what a statement lists, however late it arrives, is all that its follower holds, or ever will, up to its floor.
+This is the leader's side. A grant says that a machine's last heartbeat, as the leader processed it, needs nothing but
+the renewal of its lease. The follower that forwarded it may answer the same heartbeat again until its delegation ends.
+With every contact a follower states all grants that it holds, and the leader answers with the grants that it revokes
+and a new end of the delegation. Grants are numbered within a term. The number in an answer becomes the follower's
+floor: from then on it installs no grant with that number or a lower one. So the grants listed in a statement, however
+late it arrives, are all that the follower holds or will ever hold up to its floor.
 
 Sources: `docs/safety.md`, "Delegated heartbeats".
 """
@@ -18,9 +19,10 @@
 
 
 class HeldGrant(msgspec.Struct, array_like=True):
-    """A grant as its follower holds it. `heard_s`: seconds since it answered the machine itself; below 0: not yet.
+    """A grant as its follower holds it.
 
-    `session`: of the heartbeat that was granted.
+    `session`: the worker's session in the granted heartbeat. `heard_s`: seconds since the follower itself answered the
+    machine; negative if it has not done so yet.
     """
 
     machine: str
@@ -30,10 +32,10 @@
 
 
 class DelegationStatement(msgspec.Struct):
-    """What a follower holds. `floor`: grants up to this number are in `held`, or will never be installed.
+    """What a follower holds. `floor`: grants up to this number are in `held` or will never be installed.
 
-    `began_s`: the age of the follower's process. `released`: machines that it answered and does not hold any more, with
-    the seconds since its last answer; `memory_s`: it remembers that for so long.
+    `began_s`: age of the follower's process in seconds. `released`: machines that it answered and holds no grant of any
+    more, with the seconds since its last answer. `memory_s`: seconds for which it remembers these.
     """
 
     floor: int = 0
@@ -44,7 +46,10 @@
 
 
 class DelegationAnswer(msgspec.Struct):
-    """The leader's answer: the delegation lasts `seconds` from the sending of the statement; `number` is its floor."""
+    """The leader's answer. The delegation lasts `seconds` from the sending of the statement.
+
+    `number` is the follower's new floor, `revoked` the machines whose grants it must drop.
+    """
 
     seconds: float
     number: int
@@ -52,7 +57,7 @@
 
 
 class LastAnswer(NamedTuple):
-    """No follower has answered the machine later than that, or will on the grant that it held."""
+    """The follower has not answered the machine later than `at`, and will not do so by the grant that it held."""
 
     machine: str
     at: float
@@ -60,40 +65,40 @@
 
 @dataclass(slots=True)
 class Delegations:
-    """All grants of a term."""
+    """All grants of a term. Times are seconds of the leader's steady clock."""
 
     number: int = 0
-    _holders: dict[str, dict[str, int]] = field(default_factory=dict)  # by machine: followers and their newest grant
-    _granted: dict[str, set[str]] = field(default_factory=dict)  # by follower: machines
-    _until: dict[str, float] = field(default_factory=dict)  # by follower: it answers nobody from then on
+    _holders: dict[str, dict[str, int]] = field(default_factory=dict)  # by machine, follower: its newest grant's number
+    _granted: dict[str, set[str]] = field(default_factory=dict)  # by follower: its machines
+    _until: dict[str, float] = field(default_factory=dict)  # by follower: the end of its delegation
 
     def grant(self, follower: str, machine: str) -> int:
-        """A new grant's number. It counts as held from here on, whether or not it arrives."""
+        """Make a grant and return its number. It counts as held from now on, whether or not it arrives."""
         self.number += 1
         self._holders.setdefault(machine, {})[follower] = self.number
         self._granted.setdefault(follower, set()).add(machine)
         return self.number
 
     def forget(self, machine: str) -> None:
-        """The machine is gone."""
+        """Drop all grants of a machine that is gone."""
         for follower in self._holders.pop(machine, {}):
             self._granted[follower].discard(machine)
 
     def extend(self, follower: str, until: float) -> None:
-        """The follower is about to be told that it may answer until then."""
+        """Move the end of the follower's delegation to `until`; called before the follower is told."""
         self._until[follower] = max(until, self._until.get(follower, -math.inf))
 
     def answered_until(self, machine: str) -> float:
-        """Until when some follower may answer the machine; -inf if none holds a grant of it."""
+        """Until when any follower may answer the machine; -inf if none holds a grant of it."""
         holders = self._holders.get(machine)
         if not holders:
             return -math.inf
         return max(self._until.get(follower, -math.inf) for follower in holders)
 
     def take(self, follower: str, statement: DelegationStatement, now: float) -> Iterator[LastAnswer]:
-        """Take in a statement; bounds of the last answers to all machines that it concerns.
+        """Apply a statement, and yield bounds of the last answers to all machines that it concerns.
 
-        Seconds are counted from its arrival: a statement that was held up makes the bounds later, which is safe.
+        Ages are counted back from the statement's arrival: a delay makes the bounds later, which is safe.
         """
         held = {grant.machine for grant in statement.held}
         for grant in statement.held:
@@ -105,7 +110,7 @@
             if machine in held or self._holders[machine][follower] > statement.floor:
                 continue
             self._drop(follower, machine)
-            if machine not in statement.released:  # nor has this process answered it lately; one before it may have
+            if machine not in statement.released:  # this process has not answered it lately; an earlier one may have
                 yield LastAnswer(machine, now - min(statement.began_s, statement.memory_s))
 
     def _drop(self, follower: str, machine: str) -> None:
--- a/pepperlatch/policy/events.py
+++ b/pepperlatch/policy/events.py
@@ -1,6 +1,7 @@
-"""What a leader tells of what it decided and saw, after the fact and in order. Nobody listens by default.
+"""Events that a leader reports to a listener, in order and after the fact. By default none listens.
 
-A listener runs in the owner, between two commands: it must be quick, and changes nothing of what it is shown.
+A listener is called by the owner, the task that runs all changes of the leader's state, between two of its commands: it
+must be quick and must not change the objects that it is given. `now`: seconds of the node's steady clock.
 """
 
 from typing import Protocol
@@ -9,30 +10,32 @@
 
 
 class Listener(Protocol):
+    """Receives the events. Its methods are called by name in `controller/parts.py`."""
+
     def explained(self, job: Job, now: float) -> None:
-        """`job.reason` is of another kind than before."""
+        """The kind of `job.reason` has changed."""
 
     def placed(self, attempt: Attempt, now: float) -> None:
-        """A launch is planned."""
+        """A launch of the task is planned."""
 
     def started(self, attempt: Attempt, now: float) -> None:
         """The task has its image and runs, or waits for its gang."""
 
     def ended(self, attempt: Attempt, cause: str, now: float) -> None:
-        """The task is proven gone; `cause` in a few words."""
+        """The task is proven gone from its machine; `cause` says why, in a few words."""
 
     def job(self, job_id: str, what: str, now: float) -> None:
-        """`waits` (for jobs that it needs), `ready`, or one of its final states."""
+        """The job's state changed; `what`: `waits` (for jobs that it needs), `ready`, or one of its final states."""
 
     def machine(self, machine: Machine, what: str, why: str, now: float) -> None:
-        """`hired`, `up`, `draining`, `quarantined`, `returned`, `gone`."""
+        """The machine's state changed; `what`: `hired`, `up`, `draining`, `quarantined`, `returned` or `gone`."""
 
     def noted(self, what: str, text: str, now: float) -> None:
-        """Something of the whole service."""
+        """An event of the whole service, such as the end of a takeover."""
 
 
 class NullListener:
-    """Hears nothing."""
+    """Ignores all events."""
 
     def explained(self, job: Job, now: float) -> None: ...
     def placed(self, attempt: Attempt, now: float) -> None: ...
--- a/pepperlatch/policy/images.py
+++ b/pepperlatch/policy/images.py
@@ -1,7 +1,7 @@
-"""Which machine holds which images: what the leader saw, told to the others so that the next one knows it, too.
+"""Remembers which machine holds which images. The leader sends it to the other controllers for the next leader.
 
-Advice only. It is wrong at times (an eviction nobody saw, a machine that came back empty), which costs a fetch; nothing
-that a rule rests on reads it. No I/O, no clock.
+It is only a hint and sometimes wrong (after an unseen eviction, or if a machine was restarted empty), which costs a
+fetch of the image; nothing that safety depends on reads it. No I/O, no clock.
 """
 
 from collections.abc import Iterable, Iterator
@@ -11,38 +11,39 @@
 
 from pepperlatch.constants import core as c
 
-Use = tuple[int, str, str, float]  # number, machine, image, GB
+ImageUse = tuple[int, str, str, float]  # number, machine, image, GB
 
 
 @dataclass(slots=True)
 class ImageMemory:
-    """Uses by machine and image, the latest last; each has a number of this node's own."""
+    """The latest use of each image on each machine, the most recent last, with a number of this node's own."""
 
     _uses: dict[tuple[str, str], tuple[int, float]] = field(default_factory=dict)
     _number: int = 0
 
     def used(self, machine: str, image: str, gb: float) -> None:
+        """Note that a task on the machine uses the image of `gb` GB; beyond IMAGE_USES_MOST the oldest is forgotten."""
         self._number += 1
         self._uses.pop((machine, image), None)
         self._uses[(machine, image)] = (self._number, gb)
         if len(self._uses) > c.IMAGE_USES_MOST:
             del self._uses[next(iter(self._uses))]
 
-    def after(self, number: int) -> list[Use]:
-        """The uses after that number, the earliest first; a bounded count of them."""
+    def after(self, number: int) -> list[ImageUse]:
+        """The uses after that number, the earliest first; at most IMAGE_USES_TOLD of them."""
         latest = ((held[0], *key, held[1]) for key, held in reversed(self._uses.items()))
-        news = list(takewhile(lambda use: use[0] > number, latest))
-        return news[-c.IMAGE_USES_TOLD :][::-1]
+        newer = list(takewhile(lambda use: use[0] > number, latest))
+        return newer[-c.IMAGE_USES_TOLD :][::-1]
 
     def learn(self, uses: Any) -> int:
-        """Take in what another node told, leave what is not of that form; the highest of its numbers, or 0."""
+        """Take over another node's uses, skipping malformed ones; returns the highest of that node's numbers, or 0."""
         highest = 0
-        for number, machine, image, gb in _sound(uses):
+        for number, machine, image, gb in _well_formed(uses):
             self.used(machine, image, gb)
             highest = max(highest, number)
         return highest
 
-    def on(self, machines: Iterable[str]) -> Iterator[Use]:
+    def on(self, machines: Iterable[str]) -> Iterator[ImageUse]:
         """The uses on these machines, the earliest first."""
         wanted = set(machines)
         for (machine, image), (number, gb) in self._uses.items():
@@ -50,7 +51,7 @@
                 yield number, machine, image, gb
 
 
-def _sound(uses: Any) -> Iterator[Use]:
+def _well_formed(uses: Any) -> Iterator[ImageUse]:
     for use in uses if isinstance(uses, list) else ():
         match use:
             case [int() as number, str() as machine, str() as image, int() | float() as gb]:
--- a/pepperlatch/policy/model.py
+++ b/pepperlatch/policy/model.py
@@ -1,4 +1,7 @@
-"""What the leader knows: jobs, attempts, machines. Data and sums only; rules live in the policies."""
+"""The leader's records of jobs, task attempts and machines. Data and sums only; the other policy modules decide.
+
+Times (`..._at`, `since`) are seconds of the node's steady clock; a negative one means never, unless stated otherwise.
+"""
 
 import math
 from collections import deque
@@ -12,23 +15,27 @@
 
 
 class Phase(Enum):
-    """How far a launch has come; it counts against room and limits in every phase."""
+    """How far a launch has come. The attempt counts against room and limits in every phase."""
 
     PLANNED = "planned"  # not sent, or surely not carried out
-    SENT = "sent"  # in flight to the worker, by command or in a report's answer
-    UNCONFIRMED = "unsure"  # a direct command without an answer: may be carried out minutes later
-    CONFIRMED = "there"  # a report has shown it
+    SENT = "sent"  # on its way to the worker, in a direct command or in the answer to a report
+    UNCONFIRMED = "unsure"  # the direct command got no answer: the launch may be carried out minutes later
+    CONFIRMED = "there"  # a report has listed the task
 
 
 class Status(Enum):
+    """Where a machine is between its renting and its return."""
+
     BOOTING = "booting"  # rented; its worker has not reported
-    JOINING = "joining"  # its record is being written; no launch before that
+    JOINING = "joining"  # its record is being written to the state service; nothing is launched before that
     UP = "up"
     LEAVING = "leaving"  # being returned to the cloud
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One run of a task on one machine, from its planning until it is proven gone."""
+
     job: "Job"
     task: int
     number: int
@@ -37,44 +44,48 @@
     phase: Phase = Phase.PLANNED
     state: TaskState | None = None
     running_at: float | None = None
-    sent_seq: int = -1  # report in whose answer the launch was last sent; -1: sent directly
-    kill_grace: float | None = None  # wanted gone, with this time to save
-    kill_sent: float = -1.0
-    stop_reason: str = ""  # why it is wanted gone, in a few words
+    sent_seq: int = -1  # number of the report in whose answer the launch was last sent; -1: sent directly
+    kill_grace_s: float | None = None  # to be killed, with so many seconds to save its work; None: it is to run
+    kill_sent_at: float = -1.0
+    stop_reason: str = ""  # why it is to be killed, in a few words
 
     @property
     def name(self) -> str:
+        """The task's name, "JOB/TASK"."""
         return f"{self.job.spec.id}/{self.task}"
 
     @property
     def wanted(self) -> bool:
-        return self.kill_grace is None
+        """Whether it is to go on running."""
+        return self.kill_grace_s is None
 
 
 @dataclass(slots=True, eq=False)
 class Job:
+    """A job that may run, or that has ended and still has tasks on machines."""
+
     spec: JobSpec
-    version: int
+    version: int  # revision of its record in the state service; a smaller one is an earlier submission
     since: float  # when it was submitted, or the last job that it needs was done
-    from_earlier_term: bool  # older than the term: an earlier leader may have started its tasks
-    done: set[int] = field(default_factory=set)
+    from_earlier_term: bool  # an earlier leader may have started its tasks
+    done: set[int] = field(default_factory=set)  # finished tasks
     saved: set[int] = field(default_factory=set)  # finished tasks that the state service holds
-    live: dict[int, Attempt] = field(default_factory=dict)
-    waiting: deque[int] = field(default_factory=deque)
-    failed_on: set[str] = field(default_factory=set)
-    pause_s: float = 0.0
-    not_before: float = 0.0
-    drain_targets: dict[int, "Machine"] = field(default_factory=dict)  # where a drain wants a task to go
-    idle_since: float = -math.inf  # it has run nothing since then: its last task ended, or it became known
+    live: dict[int, Attempt] = field(default_factory=dict)  # by task: its attempt, from planning until proven gone
+    waiting: deque[int] = field(default_factory=deque)  # queue of the tasks to be placed
+    failed_on: set[str] = field(default_factory=set)  # machines on which tasks ended with an error
+    pause_s: float = 0.0  # current backoff after errors
+    not_before: float = 0.0  # no task is placed before: a backoff ends then
+    drain_targets: dict[int, "Machine"] = field(default_factory=dict)  # by task: the machine a drain moves it to
+    idle_since: float = -math.inf  # when its last attempt ended or, if there was none, it became known
     reason: Reason = PLACING
     reason_since: float = 0.0
-    preempt_after: float = float("-inf")  # it may have others stopped again from then on
-    finishing: bool = False  # the write that makes it done is on its way
+    preempt_after: float = float("-inf")  # no task is preempted for it before
+    finishing: bool = False  # the write that records it as done is in progress
     ran: bool = False  # a task of it has run: a lost replica is restored wherever there is room
-    over: bool = False  # cancelled or done: what still runs has to go
-    rank: int = -1  # of its priority, or of a stronger one of a job that needs it
-    due_at: float | None = None  # by when it should be done, so that what needs it can be, too
-    after: int = 0  # jobs that come after it before that deadline, and share the time to spare
+    over: bool = False  # cancelled or done: tasks that still run are to be killed
+    rank: int = -1  # of its priority, or the stronger one of a job that needs it; the smallest is placed first
+    due_at: float | None = None  # by when it should be done for itself and for the jobs that need it
+    after: int = 0  # number of jobs that follow it before that deadline and share the time to spare
 
     def __post_init__(self) -> None:
         if self.rank < 0:
@@ -84,13 +95,15 @@
             self.due_at = self.since + self.spec.deadline_s
 
     def running(self) -> int:
+        """The number of tasks that are reported as running."""
         return sum(1 for a in self.live.values() if a.state is TaskState.RUNNING)
 
     def explain(self, reason: Reason, now: float) -> bool:
-        """Whether it is of another kind than before; new numbers alone begin no new span.
+        """Set the reason why it waits; True if its kind differs from the last one.
 
-        What supply a job waits for may differ from round to round; one such reason stands a while before another
-        takes its place, or thousands of jobs would change theirs several times a second.
+        New numbers alone do not restart `reason_since`. The supply of machines that a job waits for may differ from one
+        planning round to the next, so a reason of that sort stays for REASON_STANDS_S seconds before another one
+        replaces it; otherwise thousands of jobs would change theirs several times a second.
         """
         new = reason.kind is not self.reason.kind
         if new and now - self.reason_since < REASON_STANDS_S and {reason.kind, self.reason.kind} <= STANDING:
@@ -103,57 +116,59 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
+    """A rented machine as the leader knows it. "We" is this leader."""
+
     name: str
     type: MachineType
     zone: str
     spot: bool
     addr: str
     status: Status
-    created_at: float
+    created_at: float  # when it was rented, as far as this leader knows
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_gb: float = 0.0
     attempts: dict[tuple[str, int], Attempt] = field(default_factory=dict)
-    replicas: int = 0  # of services, among the attempts
-    replica_share: float = 0.0  # of its CPUs (or GPUs) that they use
-    ended: dict[tuple[str, int], TaskReport] = field(default_factory=dict)
-    sticky: set[tuple[str, int]] = field(default_factory=set)  # launches that may still arrive: never reaped
-    unreaped: dict[tuple[str, int], float] = field(default_factory=dict)  # until when a copy of the launch may come
-    images: dict[str, float] = field(default_factory=dict)  # fetched, most recently used last
-    session: int = 0
-    seq: int = -1
-    last_report_at: float = -1.0  # last report, however it came
-    newest_message_at: float = -1.0  # when the newest of its messages came, by session and number
-    reached_at: float = -1.0  # last report that came with a way back: a beat, or an answer to a question of ours
-    heartbeat_at: float = -1.0  # last report that waited for an answer of ours; at first when the leader took over
+    replicas: int = 0  # attempts that are replicas of services
+    replica_share: float = 0.0  # share of its CPUs or GPUs, whichever is larger, that replicas use
+    ended: dict[tuple[str, int], TaskReport] = field(default_factory=dict)  # exited tasks that its worker still lists
+    in_flight: set[tuple[str, int]] = field(default_factory=set)  # launches that may still arrive: never reaped
+    reap_not_before: dict[tuple[str, int], float] = field(default_factory=dict)  # a copy of the launch may come before
+    images: dict[str, float] = field(default_factory=dict)  # fetched images and their GB, most recently used last
+    session: int = 0  # newest known session of its worker; each lasts as long as its lease
+    seq: int = -1  # number of the newest report in that session
+    last_report_at: float = -1.0  # last report, whichever way it came
+    newest_message_at: float = -1.0  # when the message with the highest session and number came
+    reached_at: float = -1.0  # last report that we could answer or had asked for: its worker is reachable
+    heartbeat_at: float = -1.0  # last report that waited for our answer; first the time of the takeover
     cancelled_since: float = math.inf  # a job that may have a task here was cancelled no earlier; infinite: none was
-    logged_decision: str = ""  # what was decided last if it may hold a cancelled task, as logged
-    return_needs_lease: bool = True  # that of the leader's key; not if it may hold a cancelled task and time is short
-    unexpected: bool = False  # met by a report; neither recorded nor rented
-    fenced: bool = False  # a report has shown our token: no earlier leader commands or answers it any more
-    began_by: float = -1.0  # its known session had begun by then, and its worker had our token if it has it
-    answered_at: float = -1.0  # a report of it was last answered: by us, or by a stand-in as far as we were told
-    last_ended_session: int = -1  # sessions up to this one are surely over
-    offered: tuple[int, frozenset[tuple[str, int]]] | None = None  # launches in an answer, and of which report
-    lost_answers: int = 0  # answers with launches in a row that its next report showed not to have arrived
+    logged_decision: str = ""  # last logged decision on its return while it may hold a cancelled task
+    return_needs_lease: bool = True  # of the leader's key; False: it may hold a cancelled task and time is short
+    unexpected: bool = False  # known only by a report; neither recorded nor rented
+    fenced: bool = False  # a report has shown our token: it obeys and takes answers of no earlier leader any more
+    began_by: float = -1.0  # by then its session had begun and, if it is fenced, its worker had our token
+    answered_at: float = -1.0  # last answer to its reports: by us or, as far as we were told, by a stand-in or follower
+    last_ended_session: int = -1  # sessions up to this one have surely ended
+    offered_launches: tuple[int, frozenset[tuple[str, int]]] | None = None  # in our last answer, and its report's seq
+    lost_answers: int = 0  # answers with launches in a row that did not arrive, as its next report showed
     hire: str | None = None
     up_at: float | None = None
-    idle_since: float | None = None
-    reclaim_at: float | None = None  # when the cloud takes it
-    leaves_silent: bool = False  # returned only because it was not heard of
+    idle_since: float | None = None  # when its last attempt was removed; None while it has one
+    reclaim_at: float | None = None  # when the cloud reclaims it, by its notice
+    released_as_silent: bool = False  # returned only because it was silent: called off if it reports again in time
     release_reason: str = ""  # why it is being returned, in a few words
-    draining: str | None = None
-    quarantined: bool = False
-    failed_tasks: set[str] = field(default_factory=set)
-    failed_at: float = -1.0
-    pace: list[float] = field(default_factory=list)  # run time over usual run time of tasks that finished
-    probes: int = 0
-    isolated_probes: int = 0  # when no other controller answered either
-    probing: bool = False
-    fence_failed: bool = False  # a try to show it our token got no answer
-    relay_until: float = float("-inf")  # only others reach it
-    sending: bool = False
-    send_after: float = 0.0
+    draining: str | None = None  # why it is being drained, in a word; None: it is not
+    quarantined: bool = False  # several tasks failed on it: it gets no new ones
+    failed_tasks: set[str] = field(default_factory=set)  # failed on it in a row
+    failed_at: float = -1.0  # last of these failures
+    pace: list[float] = field(default_factory=list)  # run time over estimated run time of finished tasks, latest last
+    probes: int = 0  # probes without an answer since its last report
+    isolated_probes: int = 0  # the same, when no other controller could tell either: we may be cut off ourselves
+    probing: bool = False  # a probe is under way
+    fence_failed: bool = False  # an attempt to show it our token got no answer
+    relay_until: float = float("-inf")  # until then only other controllers are taken to reach it
+    sending: bool = False  # a direct command is under way
+    send_after: float = 0.0  # no direct command before, after one that failed
     listed: bool = False  # the cloud has listed it
 
     def __post_init__(self) -> None:
@@ -176,20 +191,23 @@
         )  # fmt: skip
 
     def used_share(self) -> float:
+        """The share of its CPUs or GPUs that is in use, whichever is larger."""
         share = 1 - self.free_cpus / self.type.cpus if self.type.cpus else 0.0
         return max(share, 1 - self.free_gpus / self.type.gpus) if self.type.gpus else share
 
     def price(self) -> float:
+        """What it costs, in the unit of its type's prices."""
         return self.type.spot_price if self.spot else self.type.price
 
     def add(self, attempt: Attempt) -> None:
+        """Add an attempt and take its room."""
         self.attempts[(attempt.name, attempt.number)] = attempt
         self._count_replica(attempt.job.spec, 1)
         self.reserve_room(attempt.job.spec)
         self.idle_since = None
 
     def drop(self, attempt: Attempt) -> bool:
-        """Whether it was there."""
+        """Remove an attempt and free its room; False if it was not there."""
         if self.attempts.pop((attempt.name, attempt.number), None) is None:
             return False
         self._count_replica(attempt.job.spec, -1)
@@ -205,7 +223,7 @@
             )
 
     def exempt_from_draining(self) -> bool:
-        """Replicas alone keep it from being drained: what else runs there costs nothing more."""
+        """Whether replicas use so much of it that it stays in any case: other tasks on it cost nothing more."""
         return self.replica_share >= EMPTYING_SHARE - EPS
 
     def holds_replicas(self) -> bool:
@@ -215,7 +233,7 @@
         return spec.image_gb <= 0 or spec.image in self.images
 
     def fetches(self) -> set[str]:
-        """Images that tasks here wait for."""
+        """Images that tasks on this machine wait for."""
         return {
             a.job.spec.image for a in self.attempts.values()
             if a.state in (None, TaskState.FETCHING) and a.job.spec.image not in self.images
@@ -225,7 +243,7 @@
         return spec.image in self.fetches()
 
     def used_image(self, image: str, gb: float) -> None:
-        """Keep the same most-recently-used list as the worker does."""
+        """Note a use of an image of `gb` GB, and evict the least recently used ones as the worker does."""
         self.images.pop(image, None)
         self.images[image] = gb
         while sum(self.images.values()) > self.type.cache_gb and len(self.images) > 1:
@@ -233,11 +251,13 @@
 
 
 def split_task(name: str) -> tuple[str, int] | None:
+    """Split a task's name "JOB/TASK" into the job's id and the task's index; None if it has another form."""
     job_id, _, task = name.rpartition("/")
     return (job_id, int(task)) if job_id and task.isdigit() else None
 
 
 def allowed_on(spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
+    """Whether the job permits machines of this type, zone and kind (spot or not)."""
     return (
         (spec.spot or not spot)
         and (spec.zone is None or spec.zone == zone)
@@ -246,4 +266,5 @@
 
 
 def fits_type(spec: JobSpec, kind: MachineType) -> bool:
+    """Whether an empty machine of this type has room for a task of the job."""
     return spec.cpus <= kind.cpus + EPS and spec.gpus <= kind.gpus + EPS and spec.memory_gb <= kind.memory_gb + EPS
--- a/pepperlatch/policy/reasons.py
+++ b/pepperlatch/policy/reasons.py
@@ -1,8 +1,7 @@
-"""Why a job waits: one reason at a time, stated by whoever decides it, with the numbers behind it.
+"""The reasons why a job waits: one at a time, set by the code that decides about the job, with the numbers behind it.
 
-The words are made here and nowhere else, so that a poll, the console, the report and the log say the same. They hold
-no moment and no span, which would be old when they are read: `until` (steady clock of the node that states it) goes
-beside them, and `Job.reason_since`.
+The texts are made here only, so that a poll, the console, the report and the log say the same. They contain no times,
+which would be outdated when they are read: `Reason.until` and `Job.reason_since` are shown beside them.
 """
 
 from collections.abc import Callable, Sequence
@@ -15,26 +14,28 @@
 
 
 class Why(str, Enum):
-    PLACING = "placing"  # accepted; the next round looks at it
-    NEEDS = "needs"  # jobs that it needs are not done
+    """The kinds of reasons. The values are stored and sent; users see the texts below."""
+
+    PLACING = "placing"  # accepted; the next planning round considers it
+    NEEDS = "needs"  # jobs that it needs are not done yet
     NEED_CANCELLED = "need-cancelled"  # a job that it needs was cancelled
-    REBUILDING = "rebuilding"  # after a takeover machines are not accounted for, and might run its tasks
-    BACKOFF = "pausing"  # it failed before
+    REBUILDING = "rebuilding"  # after a takeover: machines that are not verified yet might run its tasks
+    BACKOFF = "pausing"  # its tasks failed before
     REFUSED = "refused"  # a worker refused to start a task
-    TEAM_LIMIT = "team-limit"
-    EARLIER_ATTEMPT_STOPPING = "leaving"  # a gang's earlier attempt has to be gone first
-    NO_ROOM = "no-room"  # what is done about it is decided next
-    ROOM_SOON = "finishing"  # running tasks will leave room in time
-    BOOTING = "booting"  # machines that will have room
+    TEAM_LIMIT = "team-limit"  # its team's limit has no room for another task
+    EARLIER_ATTEMPT_STOPPING = "leaving"  # all tasks of a gang's earlier attempt have to be gone first
+    NO_ROOM = "no-room"  # no machine has room; the planner decides next what to do about it
+    ROOM_SOON = "finishing"  # tasks that end soon enough will leave room
+    BOOTING = "booting"  # booting machines will have room
     ASKING_CLOUD = "asked"  # the cloud is being asked for machines
-    NO_CAPACITY = "no-capacity"  # the cloud has refused whatever would do
-    CUT_OFF = "cut-off"  # the zones that would do are cut off
-    CHEAP_ROOM = "cheap-room"  # time enough to wait for room on cheap machines
-    NO_RENTING = "held"  # nothing may be rented: leadership is not proven
-    STARTING = "starting"
-    FETCHING = "fetching"
+    NO_CAPACITY = "no-capacity"  # the cloud has refused every suitable machine
+    CUT_OFF = "cut-off"  # all suitable zones are cut off
+    CHEAP_ROOM = "cheap-room"  # there is time to wait for room on cheap machines
+    NO_RENTING = "held"  # nothing may be rented: this leader's lease is not sure
+    STARTING = "starting"  # placed; its worker has not reported the task
+    FETCHING = "fetching"  # its machine fetches the image
     RUNNING = "running"
-    UNKNOWN = "unknown"  # stated by a version that names no kind
+    UNKNOWN = "unknown"  # stated by a controller of a version that sends no kind
 
 
 CHANGES = {
@@ -62,48 +63,50 @@
 
 
 def changes_when(why: str) -> str:
-    """What ends a wait of this kind, in words; empty for a kind of a later version."""
+    """What ends a wait of this kind, in words for users; empty for a kind that only a later version knows."""
     try:
         return CHANGES[Why(why)]
     except ValueError:
         return ""
 
 
-# What a job without a place waits for; set by renting, after each round that found no room.
+# What a job that no machine has room for waits for; renting sets one of these after each planning round.
 SUPPLY = frozenset(
     (Why.NO_ROOM, Why.ROOM_SOON, Why.BOOTING, Why.ASKING_CLOUD, Why.NO_CAPACITY,
      Why.CUT_OFF, Why.CHEAP_ROOM, Why.NO_RENTING)
 )  # fmt: skip
-STANDING = SUPPLY - {Why.NO_ROOM}  # one of these stands a while before another takes its place
+STANDING = SUPPLY - {Why.NO_ROOM}  # stays for REASON_STANDS_S before another of them replaces it
 
 
 class Reason(msgspec.Struct, frozen=True, omit_defaults=True):
     """One reason and its numbers; which of them are set depends on the kind."""
 
     kind: Why
-    tasks: int = 0  # without a place
-    each: str = ""  # what one of them takes
-    where: str = ""  # machine types and zones that would do
-    machines: int = 0  # booting, or not accounted for
-    among: int = 0  # of so many machines
+    tasks: int = 0  # number of tasks without a place
+    each: str = ""  # what one of them takes, in words
+    where: str = ""  # suitable machine types and zones
+    machines: int = 0  # number of machines: booting, not verified, or failed on
+    among: int = 0  # number of all machines
     team: str = ""
-    unit: str = ""  # what the team's limit counts
-    used: float = 0.0
-    most: float = 0.0
-    unseen: float = 0.0  # of `used`, by tasks of machines that are not accounted for
+    unit: str = ""  # "CPUs" or "GPUs": what the team's limit counts
+    used: float = 0.0  # what the team uses
+    most: float = 0.0  # the team's limit
+    unseen: float = 0.0  # the part of `used` by tasks that may run unreported
     free: int = 0  # places of a gang that are free together
-    zone: str = ""  # where they are; empty if in several
-    gang: int = 0  # places that it needs together
-    names: tuple[str, ...] = ()  # jobs
+    zone: str = ""  # where these are; empty if in several zones
+    gang: int = 0  # places that the gang needs together
+    names: tuple[str, ...] = ()  # ids of jobs
     image: str = ""
-    until: float | None = None  # steady clock of who states it; about when it may change
-    said: str = ""  # in words, where only those are known
+    until: float | None = None  # about when it may change, on the steady clock of the node that states it
+    said: str = ""  # the whole text, for UNKNOWN
 
     def text(self) -> str:
+        """The reason in words, for users and operators."""
         return _TEXTS[self.kind](self) + _together(self)
 
 
 def counted(count: int, thing: str) -> str:
+    """A number with a noun, in the plural with an "s" if it is not 1."""
     return f"{count} {thing}" if count == 1 else f"{count} {thing}s"
 
 
@@ -112,6 +115,7 @@
 
 
 def named(job_ids: Sequence[str]) -> str:
+    """A list of job ids in words; of long lists only the first ones."""
     more = len(job_ids) - c.NAMES_SHOWN
     return ", ".join(job_ids[: c.NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
 
@@ -159,10 +163,11 @@
 
 
 def each(spec: JobSpec) -> str:
-    """What a task takes, in words."""
+    """What a task of the job takes, in words."""
     gpus = f", {spec.gpus:g} GPUs" if spec.gpus else ""
     return f"{spec.cpus:g} CPUs{gpus}, {spec.memory_gb:g} GB"
 
 
 def fetching(spec: JobSpec) -> Reason:
+    """The reason of a job whose machines fetch its image."""
     return Reason(Why.FETCHING, image=spec.image)
