--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -289,7 +289,7 @@
         return False
 
     def _requeue(self, attempt: Attempt, now: float) -> None:
-        """Queue the task of a removed attempt first again, unless it is done, runs elsewhere or its job has ended."""
+        """Queue a removed attempt's task again, at the head, unless it is done, runs elsewhere or its job has ended."""
         job = attempt.job
         if job.spec.kind is Kind.GANG:
             self._stop_rest_of_gang(job, attempt.number)
@@ -428,7 +428,7 @@
             self.to_record.add(machine)
 
     def _mark_verified(self, name: str, now: float) -> None:
-        """Nothing unreported of an earlier term runs on the machine any more."""
+        """Note that no unreported task of an earlier term can run on the machine any more."""
         if name in self.unverified:
             self.unverified.discard(name)
             self.dirty = True
--- a/pepperlatch/policy/model.py
+++ b/pepperlatch/policy/model.py
@@ -65,7 +65,7 @@
     """A job that may run, or that has ended and still has tasks on machines."""
 
     spec: JobSpec
-    version: int  # revision of its record in the state service; a smaller one is an earlier submission
+    version: int  # of its record in the state service; the guarantee goes to smaller ones first
     since: float  # when it was submitted, or the last job that it needs was done
     from_earlier_term: bool  # an earlier leader may have started its tasks
     done: set[int] = field(default_factory=set)  # finished tasks
@@ -76,7 +76,7 @@
     pause_s: float = 0.0  # current backoff after errors
     not_before: float = 0.0  # no task is placed before: a backoff ends then
     drain_targets: dict[int, "Machine"] = field(default_factory=dict)  # by task: the machine a drain moves it to
-    idle_since: float = -math.inf  # when its last attempt ended or, if there was none, it became known
+    idle_since: float = -math.inf  # it has run nothing since: its last attempt ended then, or it became known
     reason: Reason = PLACING
     reason_since: float = 0.0
     preempt_after: float = float("-inf")  # no task is preempted for it before
