--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -213,8 +213,8 @@
             **self.totals(),
             "waits_for_others": leader.replica.waiting_for_others(),
             "teams": [self._team(team.name) for team in leader.settings.params.teams],
-            "machines": machine_totals(cluster.machines.values(), cluster.unaccounted),
-            "rebuilding": len(cluster.unaccounted),
+            "machines": machine_totals(cluster.machines.values(), cluster.unverified),
+            "rebuilding": len(cluster.unverified),
             "drains": {"begun": planner.drains_begun, "cancelled": planner.drains_cancelled},
             "dark_zones": sorted(planner.dark),
             "refused_offers": [
@@ -231,7 +231,7 @@
 
     def _team(self, name: str) -> dict[str, Any]:
         quota = self.leader.cluster.quota
-        unseen = quota.hidden.get(name)
+        unseen = quota.unverified.get(name)
         return {**quota.shown(name), "cpus_unseen": unseen.cpus if unseen else 0.0}
 
     def machines(self) -> list[dict[str, Any]]:
@@ -241,9 +241,10 @@
             {
                 "name": m.name, "type": m.type.name, "zone": m.zone, "spot": m.spot, "state": state, "why": why,
                 "tasks": len(m.attempts), "used_share": round(m.used_share(), 3),
-                "silent_s": round(now - m.seen_at, 1) if m.seen_at >= 0 else None, "images": len(m.images),
+                "silent_s": round(now - m.last_report_at, 1) if m.last_report_at >= 0 else None,
+                "images": len(m.images),
             }
-            for m in cluster.machines.values() for state, why in [machine_state(m, m.name in cluster.unaccounted)]
+            for m in cluster.machines.values() for state, why in [machine_state(m, m.name in cluster.unverified)]
         ]  # fmt: skip
 
 
@@ -317,18 +318,18 @@
 def machine_state(machine: Machine, unaccounted: bool) -> tuple[str, str]:
     """In one word, and why."""
     if machine.status is Status.LEAVING:
-        return "leaving", machine.leaves_for
+        return "leaving", machine.release_reason
     if machine.status is not Status.UP:
         return machine.status.value, ""
     if unaccounted:
         return "unaccounted", "not heard of since the takeover"
     if machine.quarantined:
         return "quarantined", "two different tasks failed there in a row"
-    if machine.notice_at is not None:
+    if machine.reclaim_at is not None:
         return "noticed", "the cloud takes it back"
     if machine.draining is not None:
         return "draining", machine.draining
-    if machine.probes or machine.probes_unheard:
+    if machine.probes or machine.isolated_probes:
         return "silent", "does not answer; others are asked"
     return ("busy" if machine.attempts else "idle"), ""
 
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -182,7 +182,7 @@
         Never if no machine is up.
         """
         machines = [m for m in leader.cluster.machines.values() if m.status is Status.UP]
-        since = max([leader.cluster.started, self._peer_answered_at, *(m.seen_at for m in machines)])
+        since = max([leader.cluster.started, self._peer_answered_at, *(m.last_report_at for m in machines)])
         return bool(machines) and self._clock() - since > c.HANDOVER_REPORTS * self._settings.params.workers.report_s
 
     async def _contact_leader(self, peer: Peer, token: int) -> None:
@@ -220,8 +220,8 @@
         """What the leader sends to all other controllers, unasked."""
         now, cluster = self._clock(), leader.cluster
         return PeerMessage(
-            self._settings.node, leader.term.token, relay=sorted(cluster.relayed(now)),
-            cancelled=cluster.cancelled_on(now), witnesses=cluster.last_heard(),
+            self._settings.node, leader.term.token, relay=sorted(cluster.machines_to_relay(now)),
+            cancelled=cluster.machines_with_cancelled_tasks(now), witnesses=cluster.latest_reporters(),
         )  # fmt: skip
 
     async def _revoke_renewal(self, leader: Leader, peer: Peer, message: PeerMessage) -> None:
--- a/pepperlatch/controller/extensions.py
+++ b/pepperlatch/controller/extensions.py
@@ -19,7 +19,7 @@
 from pepperlatch.controller.leadership import Term
 from pepperlatch.controller.store import Watched
 from pepperlatch.controller.users import JobProgress, UserApi
-from pepperlatch.policy.events import Listener, Nobody
+from pepperlatch.policy.events import Listener, NullListener
 from pepperlatch.policy.model import Attempt, Job, Machine
 from pepperlatch.protocol.http.client import Network
 from pepperlatch.protocol.http.server import Request, Response
@@ -120,7 +120,7 @@
                 continue
             if found is not None:
                 listeners.append((extension.name, found))
-        return IsolatingListener(listeners) if listeners else Nobody()
+        return IsolatingListener(listeners) if listeners else NullListener()
 
     async def _handle_isolated(self, extension: Extension, request: Request) -> Response:
         try:
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -137,8 +137,8 @@
         for job_id in self.replica.cancelled_lately(now - self.settings.params.workers.cancel_s):
             spec = self.replica.jobs[job_id].record.spec
             if spec is not None:
-                cluster.depart(spec, spec.tasks - len(self.replica.done_tasks(job_id)), now)
-        cluster.remember()
+                cluster.add_unverified_cancellation(spec, spec.tasks - len(self.replica.done_tasks(job_id)), now)
+        cluster.load_image_memory()
         for pair in pairs:
             if pair.key.startswith(store.HIRE):
                 self._rentals.repeat_hire(pair.key[len(store.HIRE) :], wire.convert(pair.value, store.HireRecord))
@@ -151,14 +151,14 @@
         kind = self.cluster.types.get(record.type)
         if kind is None:
             log.error("machine %s is of unknown type %s: returned", name, record.type)
-            self.cluster.unaccounted.add(name)  # it may run tasks until it is gone
+            self.cluster.unverified.add(name)  # it may run tasks until it is gone
             self.cluster.to_release.add(name)
             return
         machine = Machine(name, kind, record.zone, record.spot, record.addr, Status.UP, now, draining=record.draining)
-        machine.up_at = machine.idle_since = machine.beat_at = now
+        machine.up_at = machine.idle_since = machine.heartbeat_at = now
         machine.listed = True
         self.cluster.machines[name] = machine
-        self.cluster.unaccounted.add(name)
+        self.cluster.unverified.add(name)
         self._duty.spawn(self._health.fence, machine)
 
     # --- jobs -------------------------------------------------------------------------------------
@@ -198,7 +198,7 @@
         since = self.clock() - max(0.0, self.wall() - chain.ready_at(job_id, entry.record.at))
         newest = max([entry.version, *(self.replica.jobs[name].version for name in chain.needs.get(job_id, ()))])
         job = self.cluster.add_job(spec, entry.version, since, self.replica.done_tasks(job_id))
-        job.old = newest <= self.term.token
+        job.from_earlier_term = newest <= self.term.token
         self._stand(job_id)
         self.cluster.listener.job(job_id, "ready", self.clock())
         log.info(
@@ -252,7 +252,7 @@
             waiting.settle()
             return
         for index, report in enumerate(reports):
-            machine = self.cluster.on_report(report, now, beat=True)
+            machine = self.cluster.on_report(report, now, heartbeat=True)
             self._after_report()
             if machine is not None:
                 waiting.heartbeats.append((index, machine, report.seq))
@@ -275,7 +275,7 @@
 
     def _direct_report(self, report: Report, asked_at: float, through_others: bool = False) -> None:
         self.cluster.on_report(
-            report, self.clock(), beat=False, through_others=through_others, asked_at=asked_at
+            report, self.clock(), heartbeat=False, through_others=through_others, asked_at=asked_at
         )  # fmt: skip
         self._after_report()
 
@@ -348,20 +348,20 @@
         newest = seq == machine.seq
         orders = self.cluster.orders_for_heartbeat(machine, sure, now) if newest else []
         answer = wire.report_answer(self.term.token, orders)
-        if follower and newest and not orders and self.cluster.settled(machine):
+        if follower and newest and not orders and self.cluster.can_delegate(machine):
             answer[GRANT] = self.cluster.delegations.grant(follower, machine.name)
         return answer
 
     def _send_direct(self, now: float) -> None:
-        touched, self.cluster.touched = self.cluster.touched, set()
+        touched, self.cluster.machines_to_command = self.cluster.machines_to_command, set()
         for machine in sorted(touched, key=lambda m: m.name):  # the same inputs give the same commands
-            if machine.status is not Status.UP or machine.name in self.cluster.unaccounted:
+            if machine.status is not Status.UP or machine.name in self.cluster.unverified:
                 continue
             if machine.sending or now < machine.send_after:
-                self.cluster.touched.add(machine)
+                self.cluster.machines_to_command.add(machine)
                 continue
             orders, launched = self.cluster.orders_direct(machine, now)
-            if orders or machine.unheard >= c.UNHEARD_MOST:  # without orders it tells whether it hears us again
+            if orders or machine.lost_answers >= c.UNHEARD_MOST:  # without orders it tells whether it hears us again
                 machine.sending = True
                 self._duty.spawn(self._command, machine, machine.session, orders, launched)
 
@@ -388,4 +388,4 @@
         if report is not None:
             self._direct_report(report, sent)
         self.cluster.direct_result(machine, launched, executed, now)
-        self.cluster.touched.add(machine)
+        self.cluster.machines_to_command.add(machine)
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -17,7 +17,7 @@
 from pepperlatch.policy.model import EPS, Attempt, Job, Machine, Phase, Status, allowed_on, fits_type
 from pepperlatch.policy.pace import PLACEMENT_WORK
 from pepperlatch.policy.placement import Candidates
-from pepperlatch.policy.quota import Use
+from pepperlatch.policy.quota import Usage
 from pepperlatch.policy.reasons import Reason, Why
 from pepperlatch.policy.supply import Spare
 from pepperlatch.policy.tuning import Tuning
@@ -53,7 +53,7 @@
     changed: bool = False  # something has changed since an unfinished pass began
     limits: dict[str, Reason] = field(default_factory=dict)  # teams that were at their limit in this round
     ahead: list[Job] = field(default_factory=list)  # jobs whose turn it is whatever the order, one a team at the most
-    kept: dict[str, Use] = field(default_factory=dict)  # of teams' limits, for gangs that waited long, in this round
+    kept: dict[str, Usage] = field(default_factory=dict)  # of teams' limits, for gangs that waited long, in this round
 
     # --- placing ----------------------------------------------------------------------------------
 
@@ -61,7 +61,7 @@
         return c.FRESH_REPORTS * self.cluster.params.workers.report_s
 
     def usable(self, now: float) -> list[Machine]:
-        unaccounted = self.cluster.unaccounted
+        unaccounted = self.cluster.unverified
         return [
             m for m in self.cluster.machines.values()
             if m.name not in unaccounted and placement.usable(m, now, self.fresh_s())
@@ -94,7 +94,7 @@
     def place_all(self, now: float) -> None:
         """Start what can start; `needs` keeps what found no room."""
         cluster = self.cluster
-        cluster.count_hidden()
+        cluster.count_unverified_usage()
         rebuilding = cluster.rebuilding()
         machines = self.usable(now)
         cheapest = self._cheapest(self.spare.spec) if self.spare.spec else float("inf")
@@ -105,7 +105,7 @@
         self.limits = {}
         self.kept = {}
         self.work = 0.0
-        rebuilt = Reason(Why.REBUILDING, machines=len(cluster.unaccounted), among=len(cluster.machines))
+        rebuilt = Reason(Why.REBUILDING, machines=len(cluster.unverified), among=len(cluster.machines))
         order = self.ordered(now)
         every, machines = machines, placement.roomy(machines, (j.spec for j in order))
         before, self.needs = self.needs, []
@@ -116,7 +116,7 @@
                 machines = self._hold_back(job, machines, every, now)
         dealt_with = 0
         for job in jobs:
-            if rebuilding and job.old:
+            if rebuilding and job.from_earlier_term:
                 cluster.explain(job, rebuilt, now)
             elif now < job.not_before:
                 cluster.explain(job, self._pausing(job), now)
@@ -151,7 +151,7 @@
         if not job.waiting or not turns.holds(job, now):
             return machines
         fits = self._room(job.spec) >= job.spec.tasks
-        self.kept.setdefault(job.spec.team, Use()).add(job.spec, job.spec.tasks)
+        self.kept.setdefault(job.spec.team, Usage()).add(job.spec, job.spec.tasks)
         first = next(other for other in self.ahead if turns.holds(other, now))
         if not fits or job is not first:
             return machines
@@ -165,7 +165,7 @@
     def _pausing(self, job: Job) -> Reason:
         """It failed on several machines, or a worker had no room for it after all."""
         if job.pause_s > 0:
-            return Reason(Why.PAUSING, machines=len(job.failed_on), until=job.not_before)
+            return Reason(Why.BACKOFF, machines=len(job.failed_on), until=job.not_before)
         return Reason(Why.REFUSED, until=job.not_before)
 
     def _place_tasks(self, job: Job, machines: list[Machine], now: float) -> bool:
@@ -218,7 +218,7 @@
         def free(machine: Machine) -> bool:
             if waited_long and (spec.kind is Kind.GANG or not job.live):
                 return True
-            if thrifty and not (machine.spot or machine.kept()):
+            if thrifty and not (machine.spot or machine.exempt_from_draining()):
                 return False
             return entitled or self.spare.allows(spec, machine)
 
@@ -256,14 +256,14 @@
 
     def _preferred(self, job: Job, candidates: Candidates, machines: list[Machine]) -> Machine | None:
         """Where a drain promised the next task a place."""
-        target = job.prefer.pop(job.waiting[0], None)
+        target = job.drain_targets.pop(job.waiting[0], None)
         return target if target is not None and target in machines and candidates.fits(target) else None
 
     def _place_gang(self, job: Job, machines: list[Machine], now: float) -> None:
         """All tasks or none, under one attempt number."""
         cluster, spec = self.cluster, job.spec
         if job.live:
-            cluster.explain(job, Reason(Why.LEAVING, tasks=len(job.live)), now)
+            cluster.explain(job, Reason(Why.EARLIER_ATTEMPT_STOPPING, tasks=len(job.live)), now)
             return
         if self._room(spec) < spec.tasks:
             cluster.explain(job, self._limited(spec), now)
@@ -337,7 +337,7 @@
     def _stopping(self) -> bool:
         """Whether somebody still leaves for another; who is cancelled or drained makes no room that is spoken for."""
         return any(
-            a.stopped_for.startswith(STOPPED_FOR) for m in self.cluster.machines.values() for a in m.attempts.values()
+            a.stop_reason.startswith(STOPPED_FOR) for m in self.cluster.machines.values() for a in m.attempts.values()
         )
 
     def _place_key(self, job: Job) -> tuple[bool, int]:
@@ -347,7 +347,7 @@
     def _may_stop(self, victim: Attempt, job: Job, inside: set[str]) -> bool:
         """Only what would also be placed after the job: else it takes the room back, again and again."""
         other, guaranteed = victim.job.spec, job.spec.id in inside
-        if not victim.wanted or victim.phase is not Phase.THERE or other.kind is not Kind.ARRAY:
+        if not victim.wanted or victim.phase is not Phase.CONFIRMED or other.kind is not Kind.ARRAY:
             return False
         if self._place_key(victim.job) <= self._place_key(job):
             return False
@@ -410,7 +410,7 @@
             machine.zone not in self.dark
             and machine.status is Status.BOOTING
             and not machine.unexpected
-            and now - machine.born < self.cluster.boots.expected_s(machine.type)
+            and now - machine.created_at < self.cluster.boot_times.expected_s(machine.type)
         )
 
     def rent(self, now: float) -> list[Offer]:
@@ -449,12 +449,12 @@
         """Nothing may be rented now, so nobody is told of machines that will come."""
         for need in self.needs:
             spec = need.job.spec
-            self.cluster.explain(need.job, Reason(Why.HELD, tasks=need.count, each=reasons.each(spec)), now)
+            self.cluster.explain(need.job, Reason(Why.NO_RENTING, tasks=need.count, each=reasons.each(spec)), now)
 
     def _first_up(self, now: float) -> float | None:
         """About when the first of the machines that are booting will be up."""
         booting = [m for m in self.cluster.machines.values() if m.status is Status.BOOTING and self._coming(m, now)]
-        return min((max(now, m.born + m.type.boot_s) for m in booting), default=None)
+        return min((max(now, m.created_at + m.type.boot_s) for m in booting), default=None)
 
     def _spare_need(self, now: float) -> list[Need]:
         """Room for replicas that is neither there nor booting; only on machines that a replica would not pin."""
@@ -546,7 +546,7 @@
         """A spot machine is kept as much longer as it is cheaper: for the same money it may save a boot."""
         since = machine.idle_since if machine.idle_since is not None else now
         idle_s = self.tuning["idle_s"] * machine.type.price / max(machine.price(), EPS)
-        return now - since >= idle_s and now - machine.born >= c.MIN_CHARGE_S - c.CHARGE_SLACK_S
+        return now - since >= idle_s and now - machine.created_at >= c.MIN_CHARGE_S - c.CHARGE_SLACK_S
 
     # --- draining ---------------------------------------------------------------------------------
 
@@ -572,7 +572,7 @@
         self.cluster.to_record.add(choice.machine)
         self.cluster.listener.machine(choice.machine, "draining", f"{len(choice.moves)} tasks move", now)
         for attempt, target in choice.moves:
-            attempt.job.prefer[attempt.task] = target
+            attempt.job.drain_targets[attempt.task] = target
             self.cluster.stop(attempt, attempt.job.spec.save_s, "its machine is drained")
 
     def _drain_cancelled(self, machines: list[Machine], now: float) -> None:
@@ -600,10 +600,10 @@
     def notices(self, now: float) -> None:
         """A spot machine about to be taken is drained; what will finish in time is left alone."""
         for machine in self.cluster.machines.values():
-            if machine.notice_at is None:
+            if machine.reclaim_at is None:
                 continue
             for attempt in list(machine.attempts.values()):
-                if attempt.wanted and not self._finishes(attempt, machine.notice_at, now):
+                if attempt.wanted and not self._finishes(attempt, machine.reclaim_at, now):
                     self.cluster.stop(attempt, attempt.job.spec.save_s, "the cloud takes its machine")
 
     def _finishes(self, attempt: Attempt, at: float, now: float) -> bool:
@@ -622,4 +622,4 @@
 
 def _broken(machine: Machine) -> bool:
     """It takes no tasks any more, whatever waits."""
-    return machine.quarantined or machine.notice_at is not None
+    return machine.quarantined or machine.reclaim_at is not None
--- a/tests/heartbeats/test_delegation.py
+++ b/tests/heartbeats/test_delegation.py
@@ -47,7 +47,7 @@
         """What the leader does with a statement; its last answer to n-1 as it reckons is kept."""
         for last in self.leader.take(FOLLOWER, statement, now):
             self.answered_at = max(getattr(self, "answered_at", -1.0), last.at)
-        self.leader.prolong(FOLLOWER, now + seconds)
+        self.leader.extend(FOLLOWER, now + seconds)
         revoked = [] if self.settled else [grant.machine for grant in statement.held]
         return DelegationAnswer(seconds, self.leader.number, revoked)
 
@@ -219,7 +219,9 @@
         leader = world.nodes[world.leader()].leader
         assert leader is not None
         for machine in leader.cluster.machines.values():
-            assert trio.current_time() - machine.seen_at < c.SILENT_REPORTS * REPORT_S, "the summary says who is heard"
+            assert trio.current_time() - machine.last_report_at < c.SILENT_REPORTS * REPORT_S, (
+                "the summary says who is heard"
+            )
 
     story(tell, count)
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -33,11 +33,11 @@
 
 
 def machine(name: str, zone: str = "a", spot: bool = False) -> Machine:
-    return Machine(name, TYPE, zone, spot, "", Status.UP, 0.0, seen_at=0.0, reached_at=0.0, beat_at=0.0)
+    return Machine(name, TYPE, zone, spot, "", Status.UP, 0.0, last_report_at=0.0, reached_at=0.0, heartbeat_at=0.0)
 
 
 def run_on(where: Machine, one: Job, task: int, since: float = 0.0) -> Attempt:
-    attempt = Attempt(one, task, task + 1, where, since, Phase.THERE, wire.TaskState.RUNNING, since)
+    attempt = Attempt(one, task, task + 1, where, since, Phase.CONFIRMED, wire.TaskState.RUNNING, since)
     one.live[task] = attempt
     where.add(attempt)
     return attempt
@@ -227,7 +227,7 @@
     room = quota.Quota(teams)
     room.of("red").add(jobs[0].spec, 7)
     assert room.room(jobs[1].spec) == 1
-    room.hidden = {"red": quota.Use(2.0, 0.0)}
+    room.unverified = {"red": quota.Usage(2.0, 0.0)}
     assert room.room(jobs[1].spec) == 0
 
 
@@ -256,7 +256,7 @@
     spare.count([home], [one], 1.0)
     sweep = spec_of(2, cores=4.0)
     assert spare.allows(sweep, home) and spare.allows(one, home)
-    home.take(sweep)
+    home.reserve_room(sweep)
     spare.took(home)
     assert not spare.allows(sweep, home) and spare.allows(one, home)
     assert spare.needs(home) and not spare.short()
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -152,7 +152,7 @@
     """Seen: 80 idle small machines kept for five minutes, since large tasks waited that fit on none of them."""
     planner = planner_of([machine("idle")], job(1, pieces=2, cores=8.0, memory_gb=64.0, loaners=True))
     idle = planner.cluster.machines["idle"]
-    idle.idle_since, idle.seen_at = 0.0, 100.0
+    idle.idle_since, idle.last_report_at = 0.0, 100.0
     planner.place_all(100.0)
     assert planner.needs and planner.idle(100.0) == [idle]
     planner.cluster.add_job(wire.convert(job(2, cores=8.0, expected_s=0.0), wire.JobSpec), 20, 100.0, set())
@@ -239,7 +239,7 @@
             spec = spec_of(900 + n, cores=rng.choice([1.0, 2.0]), expected_s=rng.choice([3.0, 60.0, 400.0]))
             run_on(rng.choice(machines), Job(spec, 1, 0.0, False), 0)
         for one in machines:
-            one.seen_at = one.reached_at = one.beat_at = 100.0
+            one.last_report_at = one.reached_at = one.heartbeat_at = 100.0
             for attempt in one.attempts.values():
                 attempt.running_at = rng.choice([None, 40.0, 99.0])
         needs = drawn_needs(rng)
@@ -269,7 +269,7 @@
     idle[0].used_image(board.spec.image, board.spec.image_gb)
     run_on(planner.cluster.machines["busy"], Job(spec_of(9, cores=8.0), 1, 0.0, False), 0)
     for one in planner.cluster.machines.values():
-        one.seen_at = one.reached_at = one.beat_at = 100.0
+        one.last_report_at = one.reached_at = one.heartbeat_at = 100.0
     planner.place_all(100.0)
     assert planner.idle(100.0) == [idle[1]], "five places are wanted, and those where the image is"
 
@@ -311,7 +311,7 @@
         world.send = counted  # type: ignore[method-assign]
         world.kill(world.leader())
         await world.until(
-            lambda: any(n.leader and n.leader.ready and not n.leader.cluster.unaccounted for n in world.nodes.values()),
+            lambda: any(n.leader and n.leader.ready and not n.leader.cluster.unverified for n in world.nodes.values()),
             6,
         )
         assert 0 < most <= c.FENCE_AT_ONCE
@@ -337,8 +337,8 @@
         world.kill(old)
         await world.until(lambda: next_leader in world.nodes and world.nodes[next_leader].leader is not None, 6)
         leader = world.nodes[next_leader].leader
-        await world.until(lambda: leader is not None and leader.ready and not leader.cluster.unaccounted, 2)
-        assert leader is not None and far in leader.cluster.relayed(trio.current_time())
+        await world.until(lambda: leader is not None and leader.ready and not leader.cluster.unverified, 2)
+        assert leader is not None and far in leader.cluster.machines_to_relay(trio.current_time())
 
     story(tell)
 
