--- a/pepperlatch/constants/core.py
+++ b/pepperlatch/constants/core.py
@@ -1,7 +1,7 @@
 """Every number the project chose, with its unit and the reason for it.
 
 Numbers of a deployment (limits, leases, budgets) come from the settings or from the cloud's answers
-instead.  Those that operators may change at run time are the defaults in `tuning.py`.
+instead.  Those that operators may change at run time are the defaults in `operator_settings.py`.
 """
 
 from typing import Final
--- a/pepperlatch/controller/admin.py
+++ b/pepperlatch/controller/admin.py
@@ -9,7 +9,7 @@
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
 from pepperlatch.controller.store import Watched
-from pepperlatch.policy.tuning import KNOBS, BadValue, Tuning, checked
+from pepperlatch.policy.operator_settings import OPERATOR_SETTINGS, InvalidSetting, OperatorSettings, validated
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
 from pepperlatch.protocol.state import Away, StateClient, Unsure
@@ -52,17 +52,17 @@
 
     def _describe(self) -> dict[str, Any]:
         stored, version = self._watched.replica.tuning
-        now = Tuning(stored).values()
+        now = OperatorSettings(stored).values()
         fields = {
             name: {
                 "value": now[name],
                 "default": k.default,
-                "low": k.low,
-                "high": k.high,
+                "low": k.minimum,
+                "high": k.maximum,
                 "unit": k.unit,
                 "reason": k.reason,
             }
-            for name, k in KNOBS.items()
+            for name, k in OPERATOR_SETTINGS.items()
         }
         return {"version": version, "settings": fields}
 
@@ -76,8 +76,8 @@
         except (orjson.JSONDecodeError, KeyError, TypeError):
             return Response(400, {"error": "wanted: an object with version (integer) and settings (object)"})
         try:
-            values = {name: checked(name, value) for name, value in changes.items()}
-        except BadValue as error:
+            values = {name: validated(name, value) for name, value in changes.items()}
+        except InvalidSetting as error:
             return Response(400, {"error": str(error), "field": str(error).partition(":")[0]})
         await self._watched.sync()
         stored, current = self._watched.replica.tuning
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -24,9 +24,9 @@
 from pepperlatch.policy.delegation import DelegationAnswer, DelegationStatement
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.model import Machine, Status
+from pepperlatch.policy.operator_settings import OperatorSettings
 from pepperlatch.policy.pace import RoundPace
 from pepperlatch.policy.planner import Planner
-from pepperlatch.policy.tuning import Tuning
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.cloud import CloudClient
 from pepperlatch.protocol.http.client import Lost, NotSent
@@ -74,7 +74,7 @@
             settings.node, term.token, settings.params, now, term.hold_s, self._spec_if_over, self._cancelled_since
         )
         self.cluster.images = images
-        self.planner = Planner(self.cluster, Tuning(replica.tuning[0]))
+        self.planner = Planner(self.cluster, OperatorSettings(replica.tuning[0]))
         self._tuning_version = replica.tuning[1]
         self.writer = Writer(state, term, settings.params.state.txn_ops)
         self._duty = Duty(settings, term, replica, owner, clock, wall, self.cluster, self.planner, self.writer)
@@ -237,7 +237,7 @@
             self._stand(job_id)
         if self.replica.tuning[1] != self._tuning_version:
             self._tuning_version = self.replica.tuning[1]
-            self.planner.tuning = Tuning(self.replica.tuning[0])
+            self.planner.settings = OperatorSettings(self.replica.tuning[0])
 
     # --- reports ----------------------------------------------------------------------------------
 
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -15,12 +15,12 @@
 from pepperlatch.policy.draining import lost_work
 from pepperlatch.policy.fleet import Bin, Need, Offer
 from pepperlatch.policy.model import EPS, Attempt, Job, Machine, Phase, Status, allowed_on, fits_type
+from pepperlatch.policy.operator_settings import OperatorSettings
 from pepperlatch.policy.pace import PLACEMENT_WORK
 from pepperlatch.policy.placement import Candidates
 from pepperlatch.policy.quota import Use
 from pepperlatch.policy.reasons import Reason, Why
 from pepperlatch.policy.supply import Spare
-from pepperlatch.policy.tuning import Tuning
 from pepperlatch.policy.zones import Seen, Zones
 from pepperlatch.protocol.wire import RANK, JobSpec, Kind, Priority
 
@@ -32,7 +32,7 @@
 @dataclass(slots=True)
 class Planner:
     cluster: Cluster
-    tuning: Tuning
+    settings: OperatorSettings
     blocked: dict[Offer, float] = field(default_factory=dict)  # refused offers, until when
     pauses: dict[Offer, float] = field(default_factory=dict)
     asked: Counter[Offer] = field(default_factory=Counter)  # machines of hires on their way
@@ -100,7 +100,7 @@
         cheapest = self._cheapest(self.spare.spec) if self.spare.spec else float("inf")
         homes = [m for m in machines if not placement.pinned(m, cheapest)]
         self.spare.count(
-            homes, [j.spec for j in cluster.jobs.values() if not j.over], self.tuning["spare_jobs"], self._start_s
+            homes, [j.spec for j in cluster.jobs.values() if not j.over], self.settings["spare_jobs"], self._start_s
         )
         self.limits = {}
         self.kept = {}
@@ -545,22 +545,22 @@
     def _idle_long(self, machine: Machine, now: float) -> bool:
         """A spot machine is kept as much longer as it is cheaper: for the same money it may save a boot."""
         since = machine.idle_since if machine.idle_since is not None else now
-        idle_s = self.tuning["idle_s"] * machine.type.price / max(machine.price(), EPS)
+        idle_s = self.settings["idle_s"] * machine.type.price / max(machine.price(), EPS)
         return now - since >= idle_s and now - machine.born >= c.MIN_CHARGE_S - c.CHARGE_SLACK_S
 
     # --- draining ---------------------------------------------------------------------------------
 
     def drain(self, now: float) -> None:
-        if now - self.drained_at < self.tuning["drain_every_s"]:
+        if now - self.drained_at < self.settings["drain_every_s"]:
             return
         self.drained_at = now
         machines = self.usable(now)
-        knobs = self.tuning
+        settings = self.settings
         choice = draining.choose(
             machines,
-            knobs["drain_threshold"],
-            knobs["drain_age_s"],
-            knobs["drain_lost_s"],
+            settings["drain_threshold"],
+            settings["drain_age_s"],
+            settings["drain_lost_s"],
             now,
             lambda m: self._needed(m, now),
         )
@@ -577,13 +577,13 @@
 
     def _drain_cancelled(self, machines: list[Machine], now: float) -> None:
         """Counted each round; told of the least used machine, and again only if it is another or for another reason."""
-        knobs = self.tuning
-        low = draining.underused(machines, knobs["drain_threshold"])
+        settings = self.settings
+        low = draining.underused(machines, settings["drain_threshold"])
         self.drains_cancelled += bool(low)
         if not low:
             return
         why = draining.why_not(
-            low[0], machines, knobs["drain_age_s"], knobs["drain_lost_s"], now, lambda m: self._needed(m, now)
+            low[0], machines, settings["drain_age_s"], settings["drain_lost_s"], now, lambda m: self._needed(m, now)
         )
         if (low[0].name, why) != self.drain_cancelled:
             self.drain_cancelled = (low[0].name, why)
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -14,9 +14,9 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.policy.cluster import Cluster
+from pepperlatch.policy.operator_settings import OperatorSettings
 from pepperlatch.policy.pace import PLACEMENT_WORK, RoundPace
 from pepperlatch.policy.planner import Planner
-from pepperlatch.policy.tuning import Tuning
 from pepperlatch.protocol import wire
 from tests.cuts.test_sessions import cluster_of
 from tests.fakes import ZONES, World, job, story
@@ -56,7 +56,7 @@
         one.session = 1
     for one in jobs:
         cluster.add_job(wire.convert(one, wire.JobSpec), int(one["name_id"][4:]), 0.0, set())
-    return Planner(cluster, Tuning(), work_most=work_most)
+    return Planner(cluster, OperatorSettings(), work_most=work_most)
 
 
 def rounds_of(planner: Planner, most: int = 1000) -> int:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -17,8 +17,8 @@
 from pepperlatch.policy.cluster import Cluster
 from pepperlatch.policy.fleet import Bin, Need, Offer
 from pepperlatch.policy.model import Job, Machine, Status
+from pepperlatch.policy.operator_settings import OperatorSettings
 from pepperlatch.policy.planner import Planner
-from pepperlatch.policy.tuning import Tuning
 from pepperlatch.policy.zones import Seen
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request
@@ -37,7 +37,7 @@
     cluster.machines = {m.name: m for m in machines}
     for number, body in enumerate(jobs):
         cluster.add_job(wire.convert(body, wire.JobSpec), 10 + number, 0.0, set())
-    return Planner(cluster, Tuning())
+    return Planner(cluster, OperatorSettings())
 
 
 def test_a_job_looks_at_every_machine_once_not_once_a_task(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -575,7 +575,7 @@
         assert (await put({"version": version + 5, "settings": {"idle_s": 50}}))[0] == 409
         assert (await put({"version": version, "settings": {"idle_s": 50}}))[0] == 200
         leader = world.nodes[world.leader()].leader
-        await world.until(lambda: leader is not None and leader.planner.tuning["idle_s"] == 50.0, 3)
+        await world.until(lambda: leader is not None and leader.planner.settings["idle_s"] == 50.0, 3)
         world.state.out = True
         await trio.sleep(2)
         assert (await put({"version": version, "settings": {"idle_s": 60}}))[0] == 503
