--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -228,14 +228,16 @@
         """Workers that report here are sent back to their own zone once a controller there hears the leader."""
         while True:
             await trio.sleep(c.HOME_EVERY_S)
-            wanted = self.heartbeats.routes.look(self._clock())
+            wanted = self.heartbeats.routes.controllers_to_query(self._clock())
             async with trio.open_nursery() as nursery:
                 for peer in (p for p in self.settings.peers if p.node in wanted):
                     nursery.start_soon(self._ask_home, peer)
 
     async def _ask_home(self, peer: Peer) -> None:
         health = await self._peer_health(peer)
-        self.heartbeats.routes.heard(peer.node, health is not None and bool(health.get("leader")), self._clock())
+        self.heartbeats.routes.record_health(
+            peer.node, health is not None and bool(health.get("leader")), self._clock()
+        )
 
     async def _peer_good(self, peer: Peer) -> bool | None:
         """Whether the state service answers it; None if it does not answer us."""
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -17,8 +17,8 @@
 from pepperlatch.controller.owner import Owner, Reply
 from pepperlatch.controller.store import Replica
 from pepperlatch.policy.cluster import BEGAN
+from pepperlatch.policy.heartbeat_router import HeartbeatRouter
 from pepperlatch.policy.model import split_task
-from pepperlatch.policy.routes import Routes
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.client import Lost, Network, NotSent
 from pepperlatch.protocol.http.server import Response
@@ -53,7 +53,7 @@
         self._leader = leader
         self._lease_s = settings.params.workers.lease_s
         self._addr = {peer.node: peer.addr for peer in settings.peers}
-        self.routes = Routes(
+        self.routes = HeartbeatRouter(
             settings.node, {settings.node: settings.zone} | {peer.node: peer.zone for peer in settings.peers}
         )
         self.contact = LeaderContact()
@@ -74,8 +74,8 @@
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
             return Response(400, {"error": str(error)})
         now = self._clock()
-        home = self.routes.home(report.machine, report.zone, now)
-        if home is not None and self.routes.send(report.machine, now):
+        home = self.routes.preferred_controller(report.machine, report.zone, now)
+        if home is not None and self.routes.may_redirect(report.machine, now):
             return Response(421, wire.misdirected(home))
         return await self._take(report, plain, now + c.HEARTBEAT_PATIENCE_S)
 
@@ -151,7 +151,7 @@
             self.delegated.gave_up(report)
         if self._may_stand_in(report):
             return self._stand_in(report)
-        if refused and self._state_here() and self.routes.send(report.machine, self._clock()):
+        if refused and self._state_here() and self.routes.may_redirect(report.machine, self._clock()):
             return Response(421, wire.misdirected(leader))
         return None
 
@@ -211,7 +211,7 @@
         """The leader is in touch: no standing in for a while. It is told for which machines we did, how long ago,
         and how long this process has lived."""
         now = self._clock()
-        self.routes.keep(unreached, now)
+        self.routes.accept_locally(unreached, now)
         self._barred_until = now + c.STAND_IN_BAR_S
         oldest = now - 2 * self._lease_s
         self._stood_in = {name: at for name, at in self._stood_in.items() if at > oldest}
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -12,8 +12,8 @@
 from pepperlatch.constants import zones as z
 from pepperlatch.controller.health import Health
 from pepperlatch.controller.peers import PEER_INSPECT, Peers
+from pepperlatch.policy.heartbeat_router import HeartbeatRouter
 from pepperlatch.policy.images import ImageMemory
-from pepperlatch.policy.routes import Routes
 from pepperlatch.policy.zones import Seen, State, Zone, Zones
 from pepperlatch.protocol.http.client import Lost
 from pepperlatch.protocol.http.server import Request
@@ -103,19 +103,19 @@
 
 
 def test_a_worker_goes_home_once_a_controller_there_hears_the_leader() -> None:
-    routes = Routes("n0", {"n0": "a", "n1": "b", "n2": "b", "n3": "c"})
-    assert routes.home("m", "a", 0.0) is None and routes.look(0.0) == []
-    assert routes.home("m", "b", 10.0) is None, "nobody there is known to hear the leader"
-    assert routes.look(10.0) == ["n1", "n2", "n3"]
-    routes.heard("n1", False, 10.0)
-    routes.heard("n2", True, 10.0)
-    assert routes.home("m", "b", 10.5) == "n2"
-    assert routes.home("m", "nowhere", 10.5) is None
-    assert routes.send("m", 10.5) and not routes.send("m", 12.0), "soon back: no success there"
-    assert not routes.send("m", 12.0 + c.RELAY_STICKY_S) and routes.send("m", 12.1 + c.RELAY_STICKY_S)
-    routes.heard("n2", False, 60.0)
-    assert routes.home("m", "b", 60.0) is None
-    assert routes.look(60.1 + c.HOME_LOOK_S) == []
+    router = HeartbeatRouter("n0", {"n0": "a", "n1": "b", "n2": "b", "n3": "c"})
+    assert router.preferred_controller("m", "a", 0.0) is None and router.controllers_to_query(0.0) == []
+    assert router.preferred_controller("m", "b", 10.0) is None, "nobody there is known to hear the leader"
+    assert router.controllers_to_query(10.0) == ["n1", "n2", "n3"]
+    router.record_health("n1", False, 10.0)
+    router.record_health("n2", True, 10.0)
+    assert router.preferred_controller("m", "b", 10.5) == "n2"
+    assert router.preferred_controller("m", "nowhere", 10.5) is None
+    assert router.may_redirect("m", 10.5) and not router.may_redirect("m", 12.0), "soon back: no success there"
+    assert not router.may_redirect("m", 12.0 + c.RELAY_STICKY_S) and router.may_redirect("m", 12.1 + c.RELAY_STICKY_S)
+    router.record_health("n2", False, 60.0)
+    assert router.preferred_controller("m", "b", 60.0) is None
+    assert router.controllers_to_query(60.1 + c.HOME_LOOK_S) == []
 
 
 def test_a_zone_changes_its_state_by_evidence_and_does_not_flap() -> None:
