--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -216,7 +216,7 @@
             "machines": machine_totals(cluster.machines.values(), cluster.unaccounted),
             "rebuilding": len(cluster.unaccounted),
             "drains": {"begun": planner.drains_begun, "cancelled": planner.drains_cancelled},
-            "dark_zones": sorted(planner.dark),
+            "dark_zones": sorted(planner.unreachable_zones),
             "refused_offers": [
                 {"type": o.type, "zone": o.zone, "spot": o.spot, "until_s": round(until - now, 1)}
                 for o, until in sorted(planner.blocked.items(), key=lambda item: item[1]) if until > now
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -16,8 +16,7 @@
 from pepperlatch.policy.cancellations import Decision, Seen, decide
 from pepperlatch.policy.cluster import SILENT, SILENT_CANCELLED
 from pepperlatch.policy.model import Machine, Status
-from pepperlatch.policy.zones import Seen as ZoneSeen
-from pepperlatch.policy.zones import Zones
+from pepperlatch.policy.zones import ZoneObservation, ZoneTracker
 from pepperlatch.protocol.http.client import Lost, NotSent
 from pepperlatch.protocol.wire import Report
 from pepperlatch.protocol.workers import WorkerClient
@@ -28,12 +27,12 @@
 class Portion:
     """How many machines of lost zones may be given up in one look: a few at once, and only if room is needed."""
 
-    def __init__(self, zones: Zones, needed: bool) -> None:
+    def __init__(self, zones: ZoneTracker, needed: bool) -> None:
         self._zones = zones
         self._left = z.PORTION if needed else 0
 
     def allows(self, zone: str) -> bool:
-        if not self._zones.cut(zone):
+        if not self._zones.partitioned(zone):
             return True
         self._left -= 1
         return self._left >= 0
@@ -103,7 +102,7 @@
                 machine.probing = True
                 self._duty.spawn(self._probe, machine)
         zones = {m.zone for m in cluster.machines.values()}
-        kept_zones = {zone for zone in zones if planner.zones.kept(zone, now)}
+        kept_zones = {zone for zone in zones if planner.zones.keeps_machines(zone, now)}
         elsewhere = sum(1 for m in silent if m.zone not in kept_zones)
         many = elsewhere > max(1, c.SILENT_MANY_SHARE * len(cluster.machines))
         for machine in cluster.machines.values():
@@ -141,14 +140,14 @@
             heard_at = max(cluster.peer_heard.get(peer.node, cluster.started), cluster.started)
             answers[peer.zone] = answers.get(peer.zone, False) or now - heard_at <= z.ANSWER_S
         for zone in settings.params.zones:
-            self._duty.planner.look_at_zone(zone, ZoneSeen(up[zone], lost[zone], answers.get(zone)), now)
+            self._duty.planner.observe_zone(zone, ZoneObservation(up[zone], lost[zone], answers.get(zone)), now)
 
     def _worth_asking(self, silent: list[Machine]) -> list[Machine]:
         """All, but a few only of a zone that is cut off: those that were asked least."""
         zones, out = self._duty.planner.zones, []
         cut: dict[str, list[Machine]] = {}
         for machine in silent:
-            if zones.cut(machine.zone) and machine.name not in self._duty.cluster.unaccounted:
+            if zones.partitioned(machine.zone) and machine.name not in self._duty.cluster.unaccounted:
                 cut.setdefault(machine.zone, []).append(machine)
             else:
                 out.append(machine)
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -21,7 +21,7 @@
 from pepperlatch.policy.quota import Use
 from pepperlatch.policy.reasons import Reason, Why
 from pepperlatch.policy.supply import Spare
-from pepperlatch.policy.zones import Seen, Zones
+from pepperlatch.policy.zones import ZoneObservation, ZoneTracker
 from pepperlatch.protocol.wire import RANK, JobSpec, Kind, Priority
 
 log = logging.getLogger(__name__)
@@ -36,8 +36,8 @@
     blocked: dict[Offer, float] = field(default_factory=dict)  # refused offers, until when
     pauses: dict[Offer, float] = field(default_factory=dict)
     asked: Counter[Offer] = field(default_factory=Counter)  # machines of hires on their way
-    zones: Zones = field(default_factory=Zones)
-    dark: set[str] = field(default_factory=set)  # zones where nothing is rented
+    zones: ZoneTracker = field(default_factory=ZoneTracker)
+    unreachable_zones: set[str] = field(default_factory=set)  # zones where nothing is rented
     drained_at: float = 0.0
     drains_begun: int = 0
     drains_cancelled: int = 0  # rounds in which an underused machine could not be drained
@@ -407,7 +407,7 @@
         if machine.status is Status.JOINING:
             return True
         return (
-            machine.zone not in self.dark
+            machine.zone not in self.unreachable_zones
             and machine.status is Status.BOOTING
             and not machine.unexpected
             and now - machine.born < self.cluster.boots.expected_s(machine.type)
@@ -430,12 +430,12 @@
         blocked |= {
             Offer(t.name, zone, spot)
             for t in self.cluster.types.values()
-            for zone in self.dark
+            for zone in self.unreachable_zones
             for spot in (False, True)
         }
         chosen = fleet.choose(needs, list(self.cluster.types.values()), blocked, c.HIRE_COUNT_MOST)
         short = shortage.Shortage(
-            self.cluster.types, self.blocked, set(self.asked), self.dark, bins, self._first_up(now), now
+            self.cluster.types, self.blocked, set(self.asked), self.unreachable_zones, bins, self._first_up(now), now
         )
         for need, booted, finished, left in zip(self.needs, after_boot, after_finish, needs[:wanted], strict=True):
             reason = short.reason(left, need.count, booted, finished)
@@ -500,12 +500,12 @@
         boot_s = max((kind.boot_s for kind in self.cluster.types.values()), default=0.0)
         return 1 + max(0, int((self._patience_s(job, now) - boot_s) // (job.spec.estimate_s * c.ESTIMATE_CAUTION)))
 
-    def look_at_zone(self, name: str, seen: Seen, now: float) -> None:
+    def observe_zone(self, name: str, observation: ZoneObservation, now: float) -> None:
         """Take in what is seen of a zone; nothing is rented where it would cost and never report."""
-        changed = self.zones.look(name, seen, now)
-        self.dark = self.zones.dark(now)
+        changed = self.zones.observe(name, observation, now)
+        self.unreachable_zones = self.zones.unreachable(now)
         if changed is not None:
-            said = f"zone {name} is {changed.value}: {seen.silent} of {seen.up} machines are silent"
+            said = f"zone {name} is {changed.value}: {observation.silent} of {observation.up} machines are silent"
             log.info("%s", said)
             self.cluster.listener.noted("dark", said, now)
 
@@ -540,7 +540,7 @@
             return False
         if not (_broken(machine) or machine.draining is not None or self._idle_long(machine, now)):
             return False
-        return not self.zones.kept(machine.zone, now)
+        return not self.zones.keeps_machines(machine.zone, now)
 
     def _idle_long(self, machine: Machine, now: float) -> bool:
         """A spot machine is kept as much longer as it is cheaper: for the same money it may save a boot."""
--- a/pepperlatch/policy/zones.py
+++ b/pepperlatch/policy/zones.py
@@ -10,90 +10,97 @@
 from pepperlatch.constants import zones as c
 
 
-class State(Enum):
-    WHOLE = "whole"
+class ZoneState(Enum):
+    REACHABLE = "whole"
     DOUBTFUL = "doubtful"  # most machines are silent, but a controller there answers
-    CUT = "cut off"  # most machines are silent, and nobody there answers
-    BACK = "coming back"
+    PARTITIONED = "cut off"  # most machines are silent, and nobody there answers
+    RECOVERING = "coming back"
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ZoneObservation:
     """`answers`: whether a controller of the zone answers, ours included; None if it has none."""
 
     up: int
     silent: int
-    answers: bool | None
+    controller_answers: bool | None
 
-    def most(self) -> bool:
-        share = c.SILENT_SHARE_ALONE if self.answers is None else c.SILENT_SHARE
+    def mostly_silent(self) -> bool:
+        share = c.SILENT_SHARE_ALONE if self.controller_answers is None else c.SILENT_SHARE
         return self.up >= c.MACHINES_LEAST and self.silent >= share * self.up
 
-    def few(self) -> bool:
+    def mostly_reporting(self) -> bool:
         return self.silent < c.BACK_SHARE * self.up
 
 
 @dataclass(slots=True)
 class Zone:
-    state: State = State.WHOLE
+    state: ZoneState = ZoneState.REACHABLE
     since: float = float("-inf")  # of this state
-    cut_at: float = float("-inf")  # since when it is, or was last, cut off
-    told_at: float = float("-inf")  # when a machine of ours there last told anything
+    partitioned_at: float = float("-inf")  # since when it is, or was last, cut off
+    last_up_at: float = float("-inf")  # when a machine of ours there last told anything
 
-    def look(self, seen: Seen, now: float) -> bool:
+    def observe(self, observation: ZoneObservation, now: float) -> bool:
         """Take in what is seen; whether the state changed."""
-        if seen.up:
-            self.told_at = now
-        after = self._next(seen, now)
-        if after is self.state:
+        if observation.up:
+            self.last_up_at = now
+        next_state = self._next(observation, now)
+        if next_state is self.state:
             return False
-        if after is State.CUT and now - self.cut_at > c.KEEP_S:
-            self.cut_at = now  # one that flaps is one cut
-        self.state, self.since = after, now
+        if next_state is ZoneState.PARTITIONED and now - self.partitioned_at > c.KEEP_S:
+            self.partitioned_at = now  # one that flaps is one cut
+        self.state, self.since = next_state, now
         return True
 
-    def _next(self, seen: Seen, now: float) -> State:
-        if self.state is State.CUT:
-            return self._next_of_cut(seen, now)
-        if seen.most() and seen.answers is not True:
-            return State.CUT
-        if self.state is State.BACK:
-            return State.BACK if now - self.since < c.BACK_S else State.WHOLE
-        if seen.most() or (self.state is State.DOUBTFUL and not seen.few()):
-            return State.DOUBTFUL
-        return State.WHOLE
-
-    def _next_of_cut(self, seen: Seen, now: float) -> State:
-        if not seen.up:  # nothing of ours is there to tell: it is tried again after a while
-            return State.CUT if now - self.told_at < c.TRY_AGAIN_S else State.WHOLE
-        return State.BACK if seen.few() or (seen.answers is True and not seen.most()) else State.CUT
+    def _next(self, observation: ZoneObservation, now: float) -> ZoneState:
+        if self.state is ZoneState.PARTITIONED:
+            return self._next_when_partitioned(observation, now)
+        if observation.mostly_silent() and observation.controller_answers is not True:
+            return ZoneState.PARTITIONED
+        if self.state is ZoneState.RECOVERING:
+            return ZoneState.RECOVERING if now - self.since < c.BACK_S else ZoneState.REACHABLE
+        if observation.mostly_silent() or (self.state is ZoneState.DOUBTFUL and not observation.mostly_reporting()):
+            return ZoneState.DOUBTFUL
+        return ZoneState.REACHABLE
+
+    def _next_when_partitioned(self, observation: ZoneObservation, now: float) -> ZoneState:
+        if not observation.up:  # nothing of ours is there to tell: it is tried again after a while
+            return ZoneState.PARTITIONED if now - self.last_up_at < c.TRY_AGAIN_S else ZoneState.REACHABLE
+        return (
+            ZoneState.RECOVERING
+            if observation.mostly_reporting()
+            or (observation.controller_answers is True and not observation.mostly_silent())
+            else ZoneState.PARTITIONED
+        )
 
 
 @dataclass(slots=True)
-class Zones:
-    of: dict[str, Zone] = field(default_factory=dict)
+class ZoneTracker:
+    by_name: dict[str, Zone] = field(default_factory=dict)
 
-    def look(self, name: str, seen: Seen, now: float) -> State | None:
+    def observe(self, name: str, observation: ZoneObservation, now: float) -> ZoneState | None:
         """The zone's new state, if it changed."""
-        zone = self.of.setdefault(name, Zone())
-        return zone.state if zone.look(seen, now) else None
+        zone = self.by_name.setdefault(name, Zone())
+        return zone.state if zone.observe(observation, now) else None
 
-    def cut(self, name: str) -> bool:
-        zone = self.of.get(name)
-        return zone is not None and zone.state is State.CUT
+    def partitioned(self, name: str) -> bool:
+        zone = self.by_name.get(name)
+        return zone is not None and zone.state is ZoneState.PARTITIONED
 
-    def dark(self, now: float) -> set[str]:
+    def unreachable(self, now: float) -> set[str]:
         """Where nothing is rented: it would cost and not report."""
         return {
-            name for name, zone in self.of.items()
-            if zone.state is State.CUT or (zone.state is State.DOUBTFUL and now - zone.since >= c.DOUBT_S)
+            name for name, zone in self.by_name.items()
+            if zone.state is ZoneState.PARTITIONED
+            or (zone.state is ZoneState.DOUBTFUL and now - zone.since >= c.DOUBT_S)
         }  # fmt: skip
 
-    def kept(self, name: str, now: float) -> bool:
+    def keeps_machines(self, name: str, now: float) -> bool:
         """Whether its machines are kept, silent and idle as they are: most cuts end before others would be up."""
-        zone = self.of.get(name)
-        if zone is None or zone.state not in (State.CUT, State.BACK):
+        zone = self.by_name.get(name)
+        if zone is None or zone.state not in (ZoneState.PARTITIONED, ZoneState.RECOVERING):
             return False
-        if zone.state is State.BACK:  # one that died meanwhile must not hold up what waits for all to be accounted for
+        if zone.state is ZoneState.RECOVERING:
+            # A machine that died meanwhile must not hold up what waits for all machines to be accounted for.
             return now - zone.since < c.BACK_KEEP_S
-        return now - zone.cut_at < c.KEEP_S
+        return now - zone.partitioned_at < c.KEEP_S
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -19,7 +19,7 @@
 from pepperlatch.policy.model import Job, Machine, Status
 from pepperlatch.policy.operator_settings import OperatorSettings
 from pepperlatch.policy.planner import Planner
-from pepperlatch.policy.zones import Seen
+from pepperlatch.policy.zones import ZoneObservation
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request
 from pepperlatch.protocol.state import Outcome
@@ -140,10 +140,10 @@
     planner = planner_of(machines, job(1, pieces=90))
     for one in machines:
         one.free_cpus = 0.0
-    planner.look_at_zone("a", Seen(4, 4, False), 100.0)
+    planner.observe_zone("a", ZoneObservation(4, 4, False), 100.0)
     planner.place_all(100.0)
     assert {offer.zone for offer in planner.rent(100.0)} == {"b"}
-    planner.look_at_zone("a", Seen(4, 0, True), 101.0)
+    planner.observe_zone("a", ZoneObservation(4, 0, True), 101.0)
     planner.place_all(101.0)
     assert {offer.zone for offer in planner.rent(101.0)} == {"a"}
 
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -14,7 +14,7 @@
 from pepperlatch.controller.peers import PEER_INSPECT, Peers
 from pepperlatch.policy.heartbeat_router import HeartbeatRouter
 from pepperlatch.policy.images import ImageMemory
-from pepperlatch.policy.zones import Seen, State, Zone, Zones
+from pepperlatch.policy.zones import Zone, ZoneObservation, ZoneState, ZoneTracker
 from pepperlatch.protocol.http.client import Lost
 from pepperlatch.protocol.http.server import Request
 from pepperlatch.protocol.workers import WorkerClient
@@ -121,36 +121,42 @@
 def test_a_zone_changes_its_state_by_evidence_and_does_not_flap() -> None:
     zone = Zone()
     told = [
-        (0.0, Seen(10, 4, False), State.WHOLE),  # too few
-        (1.0, Seen(10, 6, True), State.DOUBTFUL),  # its controller answers: machines, or we are slow
-        (2.0, Seen(10, 6, False), State.CUT),
-        (3.0, Seen(10, 9, False), State.CUT),  # one that answers does not make it whole
-        (9.0, Seen(10, 2, False), State.BACK),
-        (10.0, Seen(10, 6, False), State.CUT),  # again: still the same cut
-        (20.0, Seen(10, 4, True), State.BACK),
-        (20.5 + z.BACK_S, Seen(10, 4, True), State.WHOLE),
-        (60.0, Seen(3, 2, None), State.WHOLE),  # without controllers nothing else tells deaths from a cut
-        (61.0, Seen(3, 3, None), State.CUT),
-        (62.0, Seen(0, 0, None), State.CUT),  # nothing is left there to tell
-        (61.0 + z.TRY_AGAIN_S, Seen(0, 0, None), State.WHOLE),
+        (0.0, ZoneObservation(10, 4, False), ZoneState.REACHABLE),  # too few
+        (1.0, ZoneObservation(10, 6, True), ZoneState.DOUBTFUL),  # its controller answers: machines, or we are slow
+        (2.0, ZoneObservation(10, 6, False), ZoneState.PARTITIONED),
+        (3.0, ZoneObservation(10, 9, False), ZoneState.PARTITIONED),  # one that answers does not make it whole
+        (9.0, ZoneObservation(10, 2, False), ZoneState.RECOVERING),
+        (10.0, ZoneObservation(10, 6, False), ZoneState.PARTITIONED),  # again: still the same cut
+        (20.0, ZoneObservation(10, 4, True), ZoneState.RECOVERING),
+        (20.5 + z.BACK_S, ZoneObservation(10, 4, True), ZoneState.REACHABLE),
+        (
+            60.0,
+            ZoneObservation(3, 2, None),
+            ZoneState.REACHABLE,
+        ),  # without controllers nothing else tells deaths from a cut
+        (61.0, ZoneObservation(3, 3, None), ZoneState.PARTITIONED),
+        (62.0, ZoneObservation(0, 0, None), ZoneState.PARTITIONED),  # nothing is left there to tell
+        (61.0 + z.TRY_AGAIN_S, ZoneObservation(0, 0, None), ZoneState.REACHABLE),
     ]
     for at, seen, state in told:
-        zone.look(seen, at)
+        zone.observe(seen, at)
         assert zone.state is state, at
         if at == 10.0:
-            assert zone.cut_at == 2.0
+            assert zone.partitioned_at == 2.0
 
 
 def test_machines_of_a_lost_zone_are_kept_for_a_time_and_nothing_is_rented_there() -> None:
-    zones = Zones()
-    zones.look("a", Seen(9, 9, False), 5.0)
-    zones.look("b", Seen(9, 9, True), 5.0)
-    assert zones.dark(5.0) == {"a"} and zones.dark(5.0 + z.DOUBT_S) == {"a", "b"}
-    assert zones.kept("a", 5.0 + z.KEEP_S - 1) and not zones.kept("a", 5.0 + z.KEEP_S)
-    assert not zones.kept("b", 6.0) and not zones.kept("c", 6.0)
-    zones.look("a", Seen(9, 1, True), 20.0)
-    assert zones.kept("a", 20.0 + z.BACK_KEEP_S - 0.1)
-    assert not zones.kept("a", 20.0 + z.BACK_KEEP_S), "seen: 521 tasks waited 15 s for one machine that had died"
+    zones = ZoneTracker()
+    zones.observe("a", ZoneObservation(9, 9, False), 5.0)
+    zones.observe("b", ZoneObservation(9, 9, True), 5.0)
+    assert zones.unreachable(5.0) == {"a"} and zones.unreachable(5.0 + z.DOUBT_S) == {"a", "b"}
+    assert zones.keeps_machines("a", 5.0 + z.KEEP_S - 1) and not zones.keeps_machines("a", 5.0 + z.KEEP_S)
+    assert not zones.keeps_machines("b", 6.0) and not zones.keeps_machines("c", 6.0)
+    zones.observe("a", ZoneObservation(9, 1, True), 20.0)
+    assert zones.keeps_machines("a", 20.0 + z.BACK_KEEP_S - 0.1)
+    assert not zones.keeps_machines("a", 20.0 + z.BACK_KEEP_S), (
+        "seen: 521 tasks waited 15 s for one machine that had died"
+    )
 
 
 def test_idle_machines_of_a_lost_zone_are_not_returned() -> None:
@@ -158,7 +164,7 @@
     planner = planner_of([machine("lost", "a"), machine("idle", "b")])
     for one in planner.cluster.machines.values():
         one.idle_since = 0.0
-    planner.look_at_zone("a", Seen(9, 9, False), 100.0)
+    planner.observe_zone("a", ZoneObservation(9, 9, False), 100.0)
     assert [m.name for m in planner.idle(100.0)] == ["idle"]
     assert len(planner.idle(100.0 + z.KEEP_S)) == 2
 
@@ -176,7 +182,7 @@
     )  # fmt: skip
     unused: Any = None
     Health(duty, unused, unused, unused).look(c.FENCE_SILENT_S + 0.5, sure=True)
-    assert planner.zones.cut("c") and begun == ["n-0"]
+    assert planner.zones.partitioned("c") and begun == ["n-0"]
 
 
 class Wires:
