--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -209,13 +209,13 @@
 
     def _stand(self, job_id: str) -> None:
         """A job works with the rank and the due time of whatever needs it, if those are stronger than its own."""
-        job, standing = self.cluster.jobs.get(job_id), self.replica.chain.standing(job_id)
+        job, standing = self.cluster.jobs.get(job_id), self.replica.chain.urgency(job_id)
         if job is None or standing is None:
             return
         due_at = self.clock() + standing.due - self.wall() if standing.due < math.inf else None
         if (job.rank, job.due_at is None) != (standing.rank, due_at is None):
             self.cluster.dirty = True
-        job.rank, job.due_at, job.after = standing.rank, due_at, standing.after
+        job.rank, job.due_at, job.after = standing.rank, due_at, standing.jobs_after
 
     def on_jobs(self, touched: set[str]) -> None:
         """The watch has shown changes of these jobs."""
@@ -233,7 +233,7 @@
                 self._add_job(job_id)
             else:
                 known.version = entry.version
-        for job_id in self.replica.chain.before(touched):
+        for job_id in self.replica.chain.with_needed(touched):
             self._stand(job_id)
         if self.replica.tuning[1] != self._tuning_version:
             self._tuning_version = self.replica.tuning[1]
--- a/pepperlatch/controller/store.py
+++ b/pepperlatch/controller/store.py
@@ -23,7 +23,7 @@
 import trio
 
 from pepperlatch.constants import core as c
-from pepperlatch.policy.prerequisites import Prerequisites, Standing
+from pepperlatch.policy.prerequisites import Prerequisites, Urgency
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.state import Away, StateClient, Unsure
 
@@ -182,7 +182,7 @@
         record = value if isinstance(value, JobRecord) else wire.convert(value, JobRecord)
         if record.state == wire.JobState.CANCELLED.value:
             self._remember_cancelled(Cancellation(version, job_id, at, self.current_at))
-        self.jobs[job_id] = Entry(record, version, self.chain.through.get(job_id))
+        self.jobs[job_id] = Entry(record, version, self.chain.cancelled_through.get(job_id))
         touched = self._job_changed(job_id)
         if record.state == wire.JobState.DONE.value and record.spec is None:
             # There are more of these than of anything else, and what they say is mostly the same; when each was done
@@ -215,7 +215,7 @@
         else:
             return {job_id}
         for name in over:
-            self.jobs[name].through = self.chain.through[name]
+            self.jobs[name].through = self.chain.cancelled_through[name]
         return {job_id} | over
 
     def _delete(self, key: str, version: int) -> None:
@@ -277,7 +277,7 @@
 
     def ready(self, job_id: str) -> bool:
         """Whether the records of all jobs that it needs say done; nobody's belief counts before that."""
-        return not self.chain.waits_for(job_id)
+        return not self.chain.unmet_needs(job_id)
 
     def waiting_for_others(self) -> int:
         return sum(1 for job in self.chain.needs if self.jobs[job].state not in wire.FINAL and not self.ready(job))
@@ -303,8 +303,8 @@
     return job_id, int(number)
 
 
-def _own(spec: wire.JobSpec, at: float) -> Standing:
-    return Standing(wire.RANK[spec.priority], at + spec.deadline_s if spec.deadline_s else math.inf)
+def _own(spec: wire.JobSpec, at: float) -> Urgency:
+    return Urgency(wire.RANK[spec.priority], at + spec.deadline_s if spec.deadline_s else math.inf)
 
 
 def slim(pair: wire.KeyValue) -> wire.KeyValue:
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -120,7 +120,7 @@
     if entry.state in wire.FINAL:
         through = entry.through
         return None if through is None or through == job_id else Reason(Why.GONE, names=(through,))
-    waits_for = replica.chain.waits_for(job_id)
+    waits_for = replica.chain.unmet_needs(job_id)
     return Reason(Why.NEEDS, names=tuple(waits_for)) if waits_for else None
 
 
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -9,7 +9,7 @@
 from pepperlatch.controller import store
 from pepperlatch.policy import supply
 from pepperlatch.policy.model import Job
-from pepperlatch.policy.prerequisites import Prerequisites, Standing
+from pepperlatch.policy.prerequisites import Prerequisites, Urgency
 from pepperlatch.protocol import wire
 from tests.fakes import CANCEL_S, World, job, story
 
@@ -244,14 +244,14 @@
 
 def test_long_chains_and_wide_fans_are_walked_once_without_recursion() -> None:
     graph = Prerequisites()
-    own = Standing(3)
+    own = Urgency(3)
     graph.add("j0", (), own, 1.0)
     for n in range(1, 20_000):
         graph.add(f"j{n}", (f"j{n - 1}",), own, 1.0)
-    graph.add("last", ("j19999",), Standing(1, 100_000.0), 1.0)
-    standing = graph.standing("j0")
-    assert standing is not None and standing.rank == 1 and standing.due == pytest.approx(100_000 - 20_000 * 4)
-    assert graph.ready_at("last", 5.0) == 5.0 and graph.waits_for("last") == ["j19999"]
+    graph.add("last", ("j19999",), Urgency(1, 100_000.0), 1.0)
+    urgency = graph.urgency("j0")
+    assert urgency is not None and urgency.rank == 1 and urgency.due == pytest.approx(100_000 - 20_000 * 4)
+    assert graph.ready_at("last", 5.0) == 5.0 and graph.unmet_needs("last") == ["j19999"]
     wide = [f"w{n}" for n in range(20_000)]
     for one in wide:
         graph.add(one, ("j0",), own, 1.0)
@@ -264,9 +264,9 @@
     """Seen: the last tasks of a middle step waited 70 s for free places, and its pipeline was late."""
     graph = Prerequisites()
     for job_id, needs, due in (("a", (), math.inf), ("b", ("a",), math.inf), ("c", ("a",), 90.0), ("d", ("b",), 90.0)):
-        graph.add(job_id, needs, Standing(3, due), 10.0)
-    assert graph.standing("a") == Standing(3, 90.0 - 2 * 13, 2)  # by way of b and d
-    assert graph.standing("c") == Standing(3, 90.0, 0)
+        graph.add(job_id, needs, Urgency(3, due), 10.0)
+    assert graph.urgency("a") == Urgency(3, 90.0 - 2 * 13, 2)  # by way of b and d
+    assert graph.urgency("c") == Urgency(3, 90.0, 0)
     spec = wire.convert(job(1, expected_s=10.0), wire.JobSpec)
     alone, first = Job(spec, 1, 0.0, False, due_at=70.0), Job(spec, 1, 0.0, False, due_at=70.0, after=2)
     assert supply.slack_s(alone, [], 0.0) > 0
