--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -311,10 +311,10 @@
         By a longer one still if nothing changes: only moments can be reached then, pauses' ends and the like.
         """
         self.planner.notices(now)
-        self.planner.work_most = self._pace.most()
+        self.planner.work_limit = self._pace.work_limit()
         began = self.clock()
         self.planner.place_all(now)
-        self._pace.took(self.planner.work, self.clock() - began)
+        self._pace.record_round(self.planner.work, self.clock() - began)
         self.planner.preempt(now)
         if sure and now - self._rented_at >= c.RENT_GAP_S:
             self._rented_at = now
--- a/pepperlatch/policy/draining.py
+++ b/pepperlatch/policy/draining.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from pepperlatch.policy.model import EPS, Attempt, Machine, Phase, allowed_on
-from pepperlatch.policy.placement import zone_bound
+from pepperlatch.policy.placement import zone_task_limit
 from pepperlatch.protocol.wire import Kind, TaskState
 
 
@@ -25,10 +25,10 @@
 
 def movable(machine: Machine, now: float, age_s: float, lost_s: float) -> bool:
     """Its tasks all run, are young, lose little and are no gang's; a replica moves only while another one runs."""
-    return not any(stays(attempt, now, age_s, lost_s) for attempt in machine.attempts.values())
+    return not any(reason_to_stay(attempt, now, age_s, lost_s) for attempt in machine.attempts.values())
 
 
-def stays(attempt: Attempt, now: float, age_s: float, lost_s: float) -> str:
+def reason_to_stay(attempt: Attempt, now: float, age_s: float, lost_s: float) -> str:
     """Why a task is not moved; empty if it may be."""
     if attempt.phase is not Phase.THERE or not attempt.wanted or attempt.state is not TaskState.RUNNING:
         return "is starting or ending"
@@ -37,7 +37,7 @@
     if attempt.job.spec.kind is Kind.GANG:
         return "is of a gang"
     if attempt.job.spec.kind is Kind.SERVICE:
-        return "" if _other_runs(attempt) else "is the only replica that runs"
+        return "" if _other_replica_runs(attempt) else "is the only replica that runs"
     return f"would lose over {lost_s:g} s of work" if unsaved_s(attempt, now) > lost_s else ""
 
 
@@ -54,7 +54,7 @@
     return unsaved_s(attempt, now) * (attempt.job.spec.cpus + attempt.job.spec.gpus)
 
 
-def _other_runs(attempt: Attempt) -> bool:
+def _other_replica_runs(attempt: Attempt) -> bool:
     return any(a.state is TaskState.RUNNING and a is not attempt and a.wanted for a in attempt.job.live.values())
 
 
@@ -83,16 +83,16 @@
     if spec.kind is Kind.SERVICE:  # it would be away while the image is fetched
         fitting = [m for m in fitting if m.holds_image(spec)]
     near = [m for m in fitting if m.zone == source.zone]
-    far = [] if spec.kind is Kind.SERVICE or spec.one_zone else [m for m in fitting if _zone_open(attempt, m.zone)]
+    far = [] if spec.kind is Kind.SERVICE or spec.one_zone else [m for m in fitting if _zone_allowed(attempt, m.zone)]
     return min(near or far, key=lambda m: (room[m][0], m.name), default=None)
 
 
-def _zone_open(attempt: Attempt, zone: str) -> bool:
+def _zone_allowed(attempt: Attempt, zone: str) -> bool:
     there = sum(1 for a in attempt.job.live.values() if a.machine.zone == zone and a is not attempt)
-    return there < zone_bound(attempt.job)
+    return there < zone_task_limit(attempt.job)
 
 
-def choose(
+def choose_drain(
     machines: list[Machine],
     threshold: float,
     age_s: float,
@@ -111,7 +111,7 @@
     return None
 
 
-def why_not(
+def reason_not_drained(
     machine: Machine, machines: list[Machine], age_s: float, lost_s: float, now: float,
     needed: Callable[[Machine], bool],
 ) -> str:  # fmt: skip
@@ -119,7 +119,7 @@
     if needed(machine):
         return "somebody waits who would go there"
     for attempt in machine.attempts.values():
-        if why := stays(attempt, now, age_s, lost_s):
+        if why := reason_to_stay(attempt, now, age_s, lost_s):
             return f"{attempt.name} {why}"
     busy = [m for m in machines if m.attempts]
     return "a task has no place elsewhere" if destinations(machine, busy) is None else ""
--- a/pepperlatch/policy/pace.py
+++ b/pepperlatch/policy/pace.py
@@ -15,13 +15,13 @@
 class RoundPace:
     """Work is counted in machines looked at."""
 
-    per_s: float = c.PLAN_WORK_PER_S
+    work_per_s: float = c.PLAN_WORK_PER_S
 
-    def most(self) -> float:
+    def work_limit(self) -> float:
         """How much work the next round may do."""
-        return max(c.PLAN_WORK_LEAST, self.per_s * c.PLAN_ROUND_S)
+        return max(c.PLAN_WORK_LEAST, self.work_per_s * c.PLAN_ROUND_S)
 
-    def took(self, work: float, seconds: float) -> None:
+    def record_round(self, work: float, seconds: float) -> None:
         """A round did so much; one that was short is over before its length says anything."""
         if work > 0 and seconds >= c.PLAN_MEASURED_S:
-            self.per_s = (self.per_s + work / seconds) / 2
+            self.work_per_s = (self.work_per_s + work / seconds) / 2
--- a/pepperlatch/policy/placement.py
+++ b/pepperlatch/policy/placement.py
@@ -9,7 +9,7 @@
 from pepperlatch.protocol.wire import JobSpec, Kind
 
 
-def usable(machine: Machine, now: float, fresh_s: float) -> bool:
+def accepts_tasks(machine: Machine, now: float, fresh_s: float) -> bool:
     """Takes new tasks: up, recorded, reached lately, in a session that lasts, not on its way out.
 
     What only others hear of can neither be answered nor commanded: a launch sent there is held, and comes late. What
@@ -28,28 +28,28 @@
     )
 
 
-def zone_bound(job: Job) -> int:
+def zone_task_limit(job: Job) -> int:
     """How many tasks of the job one zone may hold."""
     return (job.spec.tasks + 1) // 2 if job.spec.spread else job.spec.tasks
 
 
-def zone_open(job: Job, used: Counter[str], zone: str) -> bool:
+def zone_allowed(job: Job, used: Counter[str], zone: str) -> bool:
     """Whether one more task of the job may start there, given the zones of its other tasks.
 
     Both conditions hold at once: an array that wants one zone and half its tasks apart runs so many at a time.
     """
     if job.spec.one_zone and used and (len(used) > 1 or zone not in used):
         return False
-    return used[zone] < zone_bound(job)
+    return used[zone] < zone_task_limit(job)
 
 
-def zones_open(job: Job, zones: Iterable[str]) -> list[str]:
+def allowed_zones(job: Job, zones: Iterable[str]) -> list[str]:
     """Zones where one more task of the job may start."""
     used = Counter(a.machine.zone for a in job.live.values())
-    return [zone for zone in zones if zone_open(job, used, zone)]
+    return [zone for zone in zones if zone_allowed(job, used, zone)]
 
 
-def rank(machine: Machine, job: Job, used: Counter[str], start_s: float) -> tuple[float, ...]:
+def placement_rank(machine: Machine, job: Job, used: Counter[str], start_s: float) -> tuple[float, ...]:
     """Smaller is better; first of all that a task starts within `start_s`, which a long fetch prevents.
 
     Tasks that may use spot machines go there before they go where their image is: they cost a third there,
@@ -92,7 +92,7 @@
     return spec.image_gb / max(machine.type.fetch_gb_per_s, EPS) * c.FETCH_SPREAD
 
 
-def pinned(machine: Machine, cheapest: float) -> bool:
+def would_pin(machine: Machine, cheapest: float) -> bool:
     """Whether a replica would be the one for which a dear machine is kept, perhaps for hours."""
     return not machine.holds_replicas() and machine.price() > c.PIN_RATIO * cheapest
 
@@ -118,48 +118,52 @@
         self._start_s = start_s
         self._free = free
         self._zones = set(zones)
-        self._in_zone = Counter(a.machine.zone for a in job.live.values())
-        self._on = Counter(a.machine.name for a in job.live.values()) if job.spec.kind is Kind.SERVICE else Counter()
+        self._tasks_in_zone = Counter(a.machine.zone for a in job.live.values())
+        self._tasks_on = (
+            Counter(a.machine.name for a in job.live.values()) if job.spec.kind is Kind.SERVICE else Counter()
+        )
         spec = job.spec
         fitting = [
             m
             for m in machines
-            if m.has_room(spec) and allowed_on(spec, m.type.name, m.zone, m.spot) and self._open(m.zone)
+            if m.has_room(spec) and allowed_on(spec, m.type.name, m.zone, m.spot) and self._zone_allowed(m.zone)
         ]
-        self._heap = [(rank(m, job, self._on, start_s), n, m) for n, m in enumerate(fitting)]
+        self._heap = [(placement_rank(m, job, self._tasks_on, start_s), n, m) for n, m in enumerate(fitting)]
         heapq.heapify(self._heap)
 
-    def _open(self, zone: str) -> bool:
-        return (zone in self._zones or zone in self._in_zone) and zone_open(self._job, self._in_zone, zone)
+    def _zone_allowed(self, zone: str) -> bool:
+        return (zone in self._zones or zone in self._tasks_in_zone) and zone_allowed(
+            self._job, self._tasks_in_zone, zone
+        )
 
     def fits(self, machine: Machine) -> bool:
         spec = self._job.spec
         return (
             machine.has_room(spec) and allowed_on(spec, machine.type.name, machine.zone, machine.spot)
-            and self._open(machine.zone) and self._free(machine)
+            and self._zone_allowed(machine.zone) and self._free(machine)
         )  # fmt: skip
 
     def best(self) -> Machine | None:
         heap = self._heap
         while heap:
-            held, n, machine = heap[0]
-            if not (machine.has_room(self._job.spec) and self._open(machine.zone) and self._free(machine)):
+            stored, n, machine = heap[0]
+            if not (machine.has_room(self._job.spec) and self._zone_allowed(machine.zone) and self._free(machine)):
                 heapq.heappop(heap)
                 continue
-            present = rank(machine, self._job, self._on, self._start_s)
-            if present == held:
+            present = placement_rank(machine, self._job, self._tasks_on, self._start_s)
+            if present == stored:
                 return machine
             heapq.heapreplace(heap, (present, n, machine))
         return None
 
-    def took(self, machine: Machine) -> None:
+    def placed_on(self, machine: Machine) -> None:
         """One task of the job was placed there."""
-        self._in_zone[machine.zone] += 1
+        self._tasks_in_zone[machine.zone] += 1
         if self._job.spec.kind is Kind.SERVICE:
-            self._on[machine.name] += 1
+            self._tasks_on[machine.name] += 1
 
 
-def roomy(machines: Iterable[Machine], specs: Iterable[JobSpec]) -> list[Machine]:
+def with_room_for_smallest(machines: Iterable[Machine], specs: Iterable[JobSpec]) -> list[Machine]:
     """Machines with room for the smallest of the tasks at least; in a full cluster few are left to look at."""
     specs = list(specs)
     cpus, gpus, gb = (
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from pepperlatch.constants import core as c
-from pepperlatch.policy import draining, fleet, gangs, placement, quota, reasons, shortage, supply, turns
+from pepperlatch.policy import draining, fleet, gangs, overdue_jobs, placement, quota, reasons, shortage, supply
 from pepperlatch.policy.cluster import Cluster
 from pepperlatch.policy.draining import lost_work
 from pepperlatch.policy.fleet import Bin, Need, Offer
@@ -46,7 +46,7 @@
     needs: list[Need] = field(default_factory=list)
     spare: Spare = field(default_factory=Spare)
     inside: set[str] = field(default_factory=set)  # jobs within their team's guarantee
-    work_most: float = math.inf  # how much a round may do before the rest is left to the next, see `pace`
+    work_limit: float = math.inf  # how much a round may do before the rest is left to the next, see `pace`
     work: float = 0.0  # how much this one has done
     unfinished: bool = False  # the last round did enough before it came to all that waits: its pass goes on
     passed: set[str] = field(default_factory=set)  # jobs that earlier rounds of an unfinished pass have dealt with
@@ -64,7 +64,7 @@
         unaccounted = self.cluster.unaccounted
         return [
             m for m in self.cluster.machines.values()
-            if m.name not in unaccounted and placement.usable(m, now, self.fresh_s())
+            if m.name not in unaccounted and placement.accepts_tasks(m, now, self.fresh_s())
         ]  # fmt: skip
 
     def ordered(self, now: float) -> list[Job]:
@@ -88,7 +88,7 @@
             theirs = sorted((order[place] for place in places), key=lambda j: due[j.spec.id])
             for place, job in zip(places, theirs, strict=True):
                 order[place] = job
-        self.ahead = turns.ahead(order, now)
+        self.ahead = overdue_jobs.first_overdue_by_team(order, now)
         return self.ahead + [job for job in order if job not in self.ahead] if self.ahead else order
 
     def place_all(self, now: float) -> None:
@@ -98,7 +98,7 @@
         rebuilding = cluster.rebuilding()
         machines = self.usable(now)
         cheapest = self._cheapest(self.spare.spec) if self.spare.spec else float("inf")
-        homes = [m for m in machines if not placement.pinned(m, cheapest)]
+        homes = [m for m in machines if not placement.would_pin(m, cheapest)]
         self.spare.count(
             homes, [j.spec for j in cluster.jobs.values() if not j.over], self.settings["spare_jobs"], self._start_s
         )
@@ -107,7 +107,7 @@
         self.work = 0.0
         rebuilt = Reason(Why.REBUILDING, machines=len(cluster.unaccounted), among=len(cluster.machines))
         order = self.ordered(now)
-        every, machines = machines, placement.roomy(machines, (j.spec for j in order))
+        every, machines = machines, placement.with_room_for_smallest(machines, (j.spec for j in order))
         before, self.needs = self.needs, []
         self.changed = self.unfinished and (self.changed or cluster.dirty)
         jobs = [job for job in order if job.spec.id not in self.passed]
@@ -127,7 +127,7 @@
             elif not self._place_tasks(job, machines, now):
                 break
             dealt_with += 1
-            if self.work >= self.work_most:
+            if self.work >= self.work_limit:
                 break
         self._end_round(order, jobs[:dealt_with], dealt_with == len(jobs), before)
 
@@ -148,15 +148,15 @@
 
         Once it fits into that, also what comes free of the machines that will hold it first; of several gangs, of one.
         """
-        if not job.waiting or not turns.holds(job, now):
+        if not job.waiting or not overdue_jobs.reserves_room(job, now):
             return machines
         fits = self._room(job.spec) >= job.spec.tasks
         self.kept.setdefault(job.spec.team, Use()).add(job.spec, job.spec.tasks)
-        first = next(other for other in self.ahead if turns.holds(other, now))
+        first = next(other for other in self.ahead if overdue_jobs.reserves_room(other, now))
         if not fits or job is not first:
             return machines
         self.work += len(every)
-        held = turns.held_for(job, every, self.cluster.params.zones)
+        held = overdue_jobs.reserved_machines(job, every, self.cluster.params.zones)
         return [machine for machine in machines if machine not in held]
 
     def _room(self, spec: JobSpec) -> int:
@@ -179,11 +179,11 @@
                 if machine is None:
                     break
                 cluster.place(job, job.waiting.popleft(), machine, now)
-                candidates.took(machine)
+                candidates.placed_on(machine)
                 self.spare.took(machine)
                 self.work += PLACEMENT_WORK
                 room -= 1
-                if job.waiting and room > 0 and self.work >= self.work_most:
+                if job.waiting and room > 0 and self.work >= self.work_limit:
                     return False
         if job.waiting:
             self._unplaced(job, min(room, len(job.waiting)), now)
@@ -204,7 +204,7 @@
             and self._cheap_to_be_had(spec, now)
         ):
             cheapest = self._cheapest(spec)
-            machines = [m for m in machines if not placement.pinned(m, cheapest)]
+            machines = [m for m in machines if not placement.would_pin(m, cheapest)]
         return Candidates(job, machines, zones, self._free_for(job, now), self._start_s(spec))
 
     def _free_for(self, job: Job, now: float) -> Callable[[Machine], bool]:
@@ -274,7 +274,7 @@
         while job.waiting and (machine := candidates.best()) is not None:
             placed.append(cluster.place(job, job.waiting.popleft(), machine, now, number))
             self.work += PLACEMENT_WORK
-            candidates.took(machine)
+            candidates.placed_on(machine)
             self.spare.took(machine)
         if job.waiting:
             for attempt in placed:
@@ -331,7 +331,7 @@
         if job.spec.kind is not Kind.GANG:
             return self._victims(job, machines, min(need.count, left), now)
         open_to = [m for m in self._open_to(job, machines) if self._entitled(job) or self.spare.allows(job.spec, m)]
-        victims = gangs.room_for(job, open_to, lambda m: self._stoppable(job, m), now)
+        victims = gangs.victims_for_gang(job, open_to, lambda m: self._stoppable(job, m), now)
         return [victims] if len(victims) <= left else []
 
     def _stopping(self) -> bool:
@@ -366,7 +366,7 @@
 
     def _open_to(self, job: Job, machines: list[Machine]) -> list[Machine]:
         """Where its tasks may be, and no room is kept for replicas."""
-        zones = set(placement.zones_open(job, self.cluster.params.zones))
+        zones = set(placement.allowed_zones(job, self.cluster.params.zones))
         return [
             m for m in machines
             if m.zone in zones and allowed_on(job.spec, m.type.name, m.zone, m.spot)
@@ -556,7 +556,7 @@
         self.drained_at = now
         machines = self.usable(now)
         settings = self.settings
-        choice = draining.choose(
+        choice = draining.choose_drain(
             machines,
             settings["drain_threshold"],
             settings["drain_age_s"],
@@ -582,7 +582,7 @@
         self.drains_cancelled += bool(low)
         if not low:
             return
-        why = draining.why_not(
+        why = draining.reason_not_drained(
             low[0], machines, settings["drain_age_s"], settings["drain_lost_s"], now, lambda m: self._needed(m, now)
         )
         if (low[0].name, why) != self.drain_cancelled:
--- a/tests/cuts/test_sessions.py
+++ b/tests/cuts/test_sessions.py
@@ -186,13 +186,13 @@
     one, fresh_s = machine("n-1"), 2.2 * REPORT_S
     cluster = cluster_of(one)
     cluster.on_report(report(1, 6), 1.0, beat=False)
-    assert placement.usable(one, 1.0, fresh_s)
+    assert placement.accepts_tasks(one, 1.0, fresh_s)
     cluster.on_report(report(1, 7), 1.0 + 2 * fresh_s, beat=False, through_others=True)
-    assert not placement.usable(one, 1.0 + 2 * fresh_s, fresh_s), "heard of, but not reached"
+    assert not placement.accepts_tasks(one, 1.0 + 2 * fresh_s, fresh_s), "heard of, but not reached"
     cluster.on_report(report(1, 8), 30.0, beat=True)
-    assert placement.usable(one, 30.0, fresh_s)
+    assert placement.accepts_tasks(one, 30.0, fresh_s)
     one.over_session = 1
-    assert not placement.usable(one, 30.0, fresh_s), "only its next session can take anything"
+    assert not placement.accepts_tasks(one, 30.0, fresh_s), "only its next session can take anything"
 
 
 def test_the_loss_of_a_gang_queues_each_task_once() -> None:
--- a/tests/gangs/test_room.py
+++ b/tests/gangs/test_room.py
@@ -39,17 +39,19 @@
     old, young = busy(one, 10, since=20.0), busy(one, 11, since=95.0)
     other = busy(two, 12, since=90.0)
     distant = [busy(far, 13, since=99.0), busy(far, 14, since=98.0)]
-    assert gangs.room_for(gang_of(2), [one, two, far], stop_all, NOW) == distant
-    assert gangs.room_for(gang_of(3), [one, two, far], stop_all, NOW) == [young, other], "with the card that is free"
-    assert old not in gangs.room_for(gang_of(4, one_zone=False), [one, two, far], stop_all, NOW)
-    assert gangs.room_for(gang_of(5), [one, two, far], stop_all, NOW) == [], "nobody for a part of a gang"
+    assert gangs.victims_for_gang(gang_of(2), [one, two, far], stop_all, NOW) == distant
+    assert gangs.victims_for_gang(gang_of(3), [one, two, far], stop_all, NOW) == [young, other], (
+        "with the card that is free"
+    )
+    assert old not in gangs.victims_for_gang(gang_of(4, one_zone=False), [one, two, far], stop_all, NOW)
+    assert gangs.victims_for_gang(gang_of(5), [one, two, far], stop_all, NOW) == [], "nobody for a part of a gang"
 
 
 def test_a_zone_that_holds_the_image_is_worth_what_its_fetch_would_cost() -> None:
     near, far = cards("n-1", images=("img",)), cards("n-2", "b")
     kept = [busy(near, 10, since=99.0), busy(near, 11, since=98.0)]
     busy(far, 12, since=99.9)
-    assert gangs.room_for(gang_of(2, gb=7.0), [near, far], stop_all, NOW) == kept
+    assert gangs.victims_for_gang(gang_of(2, gb=7.0), [near, far], stop_all, NOW) == kept
     whole = [near, far, cards("n-3"), cards("n-4", "b", ("img",))]
     assert placement.choose_zone(gang_of(2, gb=7.0), whole, ["a", "b"]) == "b"
     assert placement.choose_zone(gang_of(4, gb=7.0), [cards("n-3"), near, *whole[1:], cards("n-5")], ["a", "b"]) == "a"
@@ -62,7 +64,7 @@
     for number in (1, 2):
         run_on(one, Job(spec_of(number, pieces=1, **half), number, 0.0, False), 0, NOW - 1.8)
     busy(one, 3, since=NOW - 1.0)
-    found = gangs.places(gang_of(2), one, stop_all(one), NOW)
+    found = gangs.slots(gang_of(2), one, stop_all(one), NOW)
     assert [len(place.victims) for place in found] == [2, 1]
     assert found[0].cost <= found[1].cost
 
@@ -77,8 +79,8 @@
     for n, (machine, (_, ages)) in enumerate(zip(machines, rows, strict=True)):
         for m, age in enumerate(ages):
             busy(machine, 100 + 10 * n + m, since=float(age))
-    victims = gangs.room_for(gang_of(tasks, one_zone), machines, stop_all, NOW)
-    assert victims == gangs.room_for(gang_of(tasks, one_zone), machines, stop_all, NOW)
+    victims = gangs.victims_for_gang(gang_of(tasks, one_zone), machines, stop_all, NOW)
+    assert victims == gangs.victims_for_gang(gang_of(tasks, one_zone), machines, stop_all, NOW)
     zones = [[m for m in machines if not one_zone or m.zone == zone] for zone in ("a", "b")]
     possible = any(2 * len(zone) >= tasks for zone in zones)
     if not victims:
--- a/tests/gangs/test_turns.py
+++ b/tests/gangs/test_turns.py
@@ -12,7 +12,7 @@
 import trio
 
 from pepperlatch.constants import core as c
-from pepperlatch.policy import turns
+from pepperlatch.policy import overdue_jobs
 from pepperlatch.policy.model import Job, Machine
 from tests.cuts.test_sessions import cluster_of, machine
 from tests.fakes import ZONES, World, job, story
@@ -53,9 +53,9 @@
 def test_a_gang_that_can_never_be_had_holds_others_up_half_of_the_time_at_most() -> None:
     cluster = cluster_of(machine("n-1"))
     gang = cluster.add_job(spec_of(1, shape="group", pieces=4, cores=8.0), 9, 0.0, set())
-    held = [turns.holds(gang, float(now)) for now in range(1000)]
+    held = [overdue_jobs.reserves_room(gang, float(now)) for now in range(1000)]
     assert not any(held[: int(c.OVERDUE_GANG_S)]) and sum(held) <= 500
-    assert not turns.held_for(gang, cluster.machines.values(), ZONES), "too few machines, whatever ends"
+    assert not overdue_jobs.reserved_machines(gang, cluster.machines.values(), ZONES), "too few machines, whatever ends"
 
 
 def test_what_failed_or_has_begun_takes_nobodys_turn_and_one_of_a_team_goes_first() -> None:
@@ -63,20 +63,20 @@
     jobs = [cluster.add_job(spec_of(n, pieces=1), n, float(n), set()) for n in range(1, 5)]
     jobs[0].failed_on.add("n-1")
     jobs[1].ran = True
-    assert [j.version for j in turns.ahead(list(reversed(jobs)), c.OVERDUE_S + 10)] == [3]
-    assert turns.ahead(jobs, c.OVERDUE_S) == [], "nobody is overdue yet"
+    assert [j.version for j in overdue_jobs.first_overdue_by_team(list(reversed(jobs)), c.OVERDUE_S + 10)] == [3]
+    assert overdue_jobs.first_overdue_by_team(jobs, c.OVERDUE_S) == [], "nobody is overdue yet"
 
 
 def test_only_the_gang_whose_turn_it_is_holds_others_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """Seen on the lab: each of dozens of overdue gangs took a look at every machine, every round."""
     looks: list[str] = []
-    held_for = turns.held_for
+    reserved_machines = overdue_jobs.reserved_machines
 
     def counted(job: Job, *more: Any) -> set[Machine]:
         looks.append(job.spec.id)
-        return held_for(job, *more)
+        return reserved_machines(job, *more)
 
-    monkeypatch.setattr(turns, "held_for", counted)
+    monkeypatch.setattr(overdue_jobs, "reserved_machines", counted)
 
     async def tell(world: World) -> None:
         world.cloud.capacity.clear()
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -159,7 +159,7 @@
 def drained(
     machines: list[Machine], now: float = 5.0, needed: bool = False, age_s: float = 600.0
 ) -> draining.Drain | None:
-    return draining.choose(machines, 0.30, age_s, 8.0, now, lambda m: needed)
+    return draining.choose_drain(machines, 0.30, age_s, 8.0, now, lambda m: needed)
 
 
 def test_the_least_used_machine_is_drained_onto_the_fullest_busy_one_in_its_zone() -> None:
@@ -195,7 +195,7 @@
         ("daemon", 5.0, "is the only replica that runs"),
     ):  # fmt: skip
         machines = world(shape=shape)
-        said = draining.why_not(machines[0], machines, 600.0, 8.0, now, lambda m: False)
+        said = draining.reason_not_drained(machines[0], machines, 600.0, 8.0, now, lambda m: False)
         assert said.endswith(why), said
     assert drained(world(), now=5.0, age_s=4.0) is None
     assert drained(world(), now=20.0) is None, "20 s of work would be lost"
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -56,7 +56,7 @@
         one.session = 1
     for one in jobs:
         cluster.add_job(wire.convert(one, wire.JobSpec), int(one["name_id"][4:]), 0.0, set())
-    return Planner(cluster, OperatorSettings(), work_most=work_most)
+    return Planner(cluster, OperatorSettings(), work_limit=work_most)
 
 
 def rounds_of(planner: Planner, most: int = 1000) -> int:
@@ -113,15 +113,15 @@
 
 def test_the_pace_follows_what_rounds_took_and_never_stops() -> None:
     pace = RoundPace()
-    assert pace.most() == c.PLAN_WORK_PER_S * c.PLAN_ROUND_S
-    pace.took(100.0, 0.001)
-    assert pace.per_s == c.PLAN_WORK_PER_S, "too short to say anything"
+    assert pace.work_limit() == c.PLAN_WORK_PER_S * c.PLAN_ROUND_S
+    pace.record_round(100.0, 0.001)
+    assert pace.work_per_s == c.PLAN_WORK_PER_S, "too short to say anything"
     for _ in range(20):
-        pace.took(200_000.0, 1.0)
-    assert pace.most() == pytest.approx(100_000.0, rel=0.01)
+        pace.record_round(200_000.0, 1.0)
+    assert pace.work_limit() == pytest.approx(100_000.0, rel=0.01)
     for _ in range(40):
-        pace.took(10.0, 5.0)
-    assert pace.most() == c.PLAN_WORK_LEAST
+        pace.record_round(10.0, 5.0)
+    assert pace.work_limit() == c.PLAN_WORK_LEAST
 
 
 @pytest.mark.parametrize("shape", ["sweep", "group"])
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -49,8 +49,8 @@
         looks += 1
         return rank(*args)
 
-    rank = placement.rank
-    monkeypatch.setattr(placement, "rank", counted)
+    rank = placement.placement_rank
+    monkeypatch.setattr(placement, "placement_rank", counted)
     machines = [machine(f"n-{n}", ZONES[n % 3]) for n in range(400)]
     planner = planner_of(machines, job(1, pieces=300), job(2, pieces=300))
     planner.place_all(1.0)
