--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -187,7 +187,7 @@
 
     def order(self, job_id: str) -> dict[str, Any] | None:
         """Whose jobs are before a job that has no place, in the order of the last round."""
-        needs = self.leader.planner.needs
+        needs = self.leader.planner.demands
         place = next((n for n, need in enumerate(needs) if need.job.spec.id == job_id), None)
         if place is None:
             return None
@@ -200,7 +200,7 @@
                 for n in before[: c.AHEAD_SHOWN]
             ],
             "before_by_team": dict(Counter(n.job.spec.team for n in before)),
-            "within_guarantee": job_id in self.leader.planner.inside,
+            "within_guarantee": job_id in self.leader.planner.within_guarantee,
         }
 
     def overview(self) -> dict[str, Any]:
@@ -219,7 +219,7 @@
             "dark_zones": sorted(planner.unreachable_zones),
             "refused_offers": [
                 {"type": o.type, "zone": o.zone, "spot": o.spot, "until_s": round(until - now, 1)}
-                for o, until in sorted(planner.blocked.items(), key=lambda item: item[1]) if until > now
+                for o, until in sorted(planner.blocked_until.items(), key=lambda item: item[1]) if until > now
             ],
             "money": self.recorder.money.shown(now),
             "recoveries": self.recorder.recoveries.shown(),
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -114,10 +114,10 @@
             self._give_up([machine for machine in quiet if machine.zone not in kept_zones], many, now)
         self._return_cancelled(quiet, kept_zones, sure, now)
         if sure and not cluster.rebuilding():
-            for machine in planner.idle(now):
+            for machine in planner.machines_to_return(now):
                 cluster.release(machine, machine.draining or ("quarantined" if machine.quarantined else "idle"))
-        planner.drain(now)
-        if now >= planner.look_after and (planner.needs or any(j.waiting for j in cluster.jobs.values())):
+        planner.start_drain(now)
+        if now >= planner.replan_after and (planner.demands or any(j.waiting for j in cluster.jobs.values())):
             cluster.dirty = True
 
     def _overdue(self, machine: Machine, now: float) -> bool:
@@ -126,7 +126,7 @@
     def _give_up(self, quiet: list[Machine], many: bool, now: float) -> None:
         """Of those that were not heard of for long."""
         planner = self._duty.planner
-        portion = Portion(planner.zones, bool(planner.needs))
+        portion = Portion(planner.zones, bool(planner.demands))
         for machine in quiet:
             if self._given_up(machine, many, now) and portion.allows(machine.zone):
                 self._duty.cluster.release(machine, SILENT)
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -310,20 +310,20 @@
 
         By a longer one still if nothing changes: only moments can be reached then, pauses' ends and the like.
         """
-        self.planner.notices(now)
+        self.planner.stop_before_reclaim(now)
         self.planner.work_limit = self._pace.work_limit()
         began = self.clock()
         self.planner.place_all(now)
-        self._pace.record_round(self.planner.work, self.clock() - began)
+        self._pace.record_round(self.planner.work_done, self.clock() - began)
         self.planner.preempt(now)
         if sure and now - self._rented_at >= c.RENT_GAP_S:
             self._rented_at = now
             self._rentals.rent(now)
         elif not sure:
-            self.planner.hold(now)
+            self.planner.explain_renting_held(now)
         took = self.clock() - now
         self._plan_after = now + took + max(c.PLAN_GAP_S, c.PLAN_REST * took)
-        self.planner.look_after = now + took + c.PLAN_LOOK_REST * took
+        self.planner.replan_after = now + took + c.PLAN_LOOK_REST * took
         if took > c.PLAN_LONG_S:
             log.info("a round of planning took %.3f s", took)
 
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -26,10 +26,10 @@
 
     def rent(self, now: float) -> None:
         """A few calls at once, the largest first: what waits for its turn is asked for with what comes meanwhile."""
-        free = c.HIRES_AT_ONCE - len(self._duty.planner.asked)
+        free = c.HIRES_AT_ONCE - len(self._duty.planner.requested)
         if free <= 0:
             return
-        chosen = Counter(self._duty.planner.rent(now))
+        chosen = Counter(self._duty.planner.offers_to_rent(now))
         for offer, count in chosen.most_common(free):
             self._hire(offer, count)
 
@@ -37,7 +37,7 @@
         """The request's name is recorded first: its machines can then never be forgotten."""
         self._hires += 1
         name = f"{self._duty.settings.node}-{self._duty.term.token}-{self._hires}"
-        self._duty.planner.asked[offer] += count
+        self._duty.planner.requested[offer] += count
         record = store.HireRecord(offer.type, offer.zone, offer.spot, count)
         self._hire_of[name] = {""}
 
@@ -50,7 +50,7 @@
         """An earlier leader's hire: asking again gives the same answer, or rents what it wanted."""
         offer = Offer(record.type, record.zone, record.spot)
         if record.type in self._duty.cluster.types:
-            self._duty.planner.asked[offer] += record.count
+            self._duty.planner.requested[offer] += record.count
         self._hire_of[name] = {""}
         self._duty.spawn(self._ask, name, record)
 
@@ -75,13 +75,13 @@
 
     def _hired(self, hire: str, offer: Offer, count: int, names: list[str] | None) -> None:
         now = self._duty.clock()
-        self._duty.planner.asked[offer] -= count
-        if self._duty.planner.asked[offer] <= 0:
-            del self._duty.planner.asked[offer]
+        self._duty.planner.requested[offer] -= count
+        if self._duty.planner.requested[offer] <= 0:
+            del self._duty.planner.requested[offer]
         if names is None or len(names) < count:
-            self._duty.planner.refused(offer, now)
+            self._duty.planner.offer_refused(offer, now)
         else:
-            self._duty.planner.granted(offer)
+            self._duty.planner.offer_granted(offer)
         kind = self._duty.cluster.types.get(offer.type)
         log.info("hired %s of %d: %s %s%s", names, count, offer.type, offer.zone, " spot" if offer.spot else "")
         fresh = {""}
@@ -211,7 +211,7 @@
         for name in names:
             machine = self._duty.cluster.machines.get(name)
             if machine is not None:
-                self._duty.planner.granted(Offer(machine.type.name, machine.zone, machine.spot))
+                self._duty.planner.offer_granted(Offer(machine.type.name, machine.zone, machine.spot))
             self._duty.cluster.remove_machine(name, now)
             self._duty.writer.add(Write([wire.delete(store.MACHINE + name)], lambda ok: None))
             self.off_hire(name)
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -13,61 +13,65 @@
 from pepperlatch.policy import draining, fleet, gangs, overdue_jobs, placement, quota, reasons, shortage, supply
 from pepperlatch.policy.cluster import Cluster
 from pepperlatch.policy.draining import lost_work
-from pepperlatch.policy.fleet import Bin, Need, Offer
+from pepperlatch.policy.fleet import Bin, Demand, Offer
 from pepperlatch.policy.model import EPS, Attempt, Job, Machine, Phase, Status, allowed_on, fits_type
 from pepperlatch.policy.operator_settings import OperatorSettings
 from pepperlatch.policy.pace import PLACEMENT_WORK
 from pepperlatch.policy.placement import Candidates
 from pepperlatch.policy.quota import Use
 from pepperlatch.policy.reasons import Reason, Why
-from pepperlatch.policy.supply import Spare
+from pepperlatch.policy.supply import ReplicaReserve
 from pepperlatch.policy.zones import ZoneObservation, ZoneTracker
 from pepperlatch.protocol.wire import RANK, JobSpec, Kind, Priority
 
 log = logging.getLogger(__name__)
-STOPPED_FOR = "stopped for "  # and a job: why a task had to leave
-URGENT = RANK[Priority.HIGH]  # and stronger: may preempt also beyond a guarantee
+PREEMPTED_FOR = "stopped for "  # and a job: why a task had to leave
+PREEMPTING_RANK = RANK[Priority.HIGH]  # and stronger: may preempt also beyond a guarantee
 
 
 @dataclass(slots=True)
 class Planner:
     cluster: Cluster
     settings: OperatorSettings
-    blocked: dict[Offer, float] = field(default_factory=dict)  # refused offers, until when
-    pauses: dict[Offer, float] = field(default_factory=dict)
-    asked: Counter[Offer] = field(default_factory=Counter)  # machines of hires on their way
+    blocked_until: dict[Offer, float] = field(default_factory=dict)  # refused offers, until when
+    refusal_pause_s: dict[Offer, float] = field(default_factory=dict)
+    requested: Counter[Offer] = field(default_factory=Counter)  # machines of hires on their way
     zones: ZoneTracker = field(default_factory=ZoneTracker)
     unreachable_zones: set[str] = field(default_factory=set)  # zones where nothing is rented
-    drained_at: float = 0.0
+    last_drain_at: float = 0.0
     drains_begun: int = 0
     drains_cancelled: int = 0  # rounds in which an underused machine could not be drained
-    drain_cancelled: tuple[str, str] = ("", "")  # the last of these, and why
-    look_after: float = 0.0  # when it is looked again at what waits though nothing has changed
-    needs: list[Need] = field(default_factory=list)
-    spare: Spare = field(default_factory=Spare)
-    inside: set[str] = field(default_factory=set)  # jobs within their team's guarantee
+    last_drain_cancelled: tuple[str, str] = ("", "")  # the last of these, and why
+    replan_after: float = 0.0  # when it is looked again at what waits though nothing has changed
+    demands: list[Demand] = field(default_factory=list)
+    reserve: ReplicaReserve = field(default_factory=ReplicaReserve)
+    within_guarantee: set[str] = field(default_factory=set)  # jobs within their team's guarantee
     work_limit: float = math.inf  # how much a round may do before the rest is left to the next, see `pace`
-    work: float = 0.0  # how much this one has done
+    work_done: float = 0.0  # how much this one has done
     unfinished: bool = False  # the last round did enough before it came to all that waits: its pass goes on
-    passed: set[str] = field(default_factory=set)  # jobs that earlier rounds of an unfinished pass have dealt with
+    handled: set[str] = field(default_factory=set)  # jobs that earlier rounds of an unfinished pass have dealt with
     changed: bool = False  # something has changed since an unfinished pass began
-    limits: dict[str, Reason] = field(default_factory=dict)  # teams that were at their limit in this round
-    ahead: list[Job] = field(default_factory=list)  # jobs whose turn it is whatever the order, one a team at the most
-    kept: dict[str, Use] = field(default_factory=dict)  # of teams' limits, for gangs that waited long, in this round
+    team_limits: dict[str, Reason] = field(default_factory=dict)  # teams that were at their limit in this round
+    overdue_first: list[Job] = field(
+        default_factory=list
+    )  # jobs whose turn it is whatever the order, one a team at the most
+    reserved: dict[str, Use] = field(
+        default_factory=dict
+    )  # of teams' limits, for gangs that waited long, in this round
 
     # --- placing ----------------------------------------------------------------------------------
 
-    def fresh_s(self) -> float:
+    def report_max_age_s(self) -> float:
         return c.FRESH_REPORTS * self.cluster.params.workers.report_s
 
-    def usable(self, now: float) -> list[Machine]:
+    def usable_machines(self, now: float) -> list[Machine]:
         unaccounted = self.cluster.unaccounted
         return [
             m for m in self.cluster.machines.values()
-            if m.name not in unaccounted and placement.accepts_tasks(m, now, self.fresh_s())
+            if m.name not in unaccounted and placement.accepts_tasks(m, now, self.report_max_age_s())
         ]  # fmt: skip
 
-    def ordered(self, now: float) -> list[Job]:
+    def placement_order(self, now: float) -> list[Job]:
         """Within a guarantee first, then by priority, then what can still meet its next aim soonest.
 
         A guarantee holds against other teams. Among a team's own jobs of one priority that have not run yet,
@@ -76,10 +80,10 @@
         """
         aims = self.cluster.params.objectives
         jobs = [j for j in self.cluster.jobs.values() if not j.over]
-        inside = self.inside = quota.within_guarantee(jobs, self.cluster.quota.teams)
+        inside = self.within_guarantee = quota.within_guarantee(jobs, self.cluster.quota.teams)
         waiting = [j for j in jobs if j.waiting]
-        due = {j.spec.id: (supply.next_due(j, aims, j.spec.id in inside, now), j.version) for j in waiting}
-        order = sorted(waiting, key=lambda j: (*self._place_key(j), *due[j.spec.id]))
+        due = {j.spec.id: (supply.next_deadline(j, aims, j.spec.id in inside, now), j.version) for j in waiting}
+        order = sorted(waiting, key=lambda j: (*self._placement_key(j), *due[j.spec.id]))
         groups: dict[tuple[str, int], list[int]] = {}
         for place, job in enumerate(order):
             if not job.ran:
@@ -88,81 +92,87 @@
             theirs = sorted((order[place] for place in places), key=lambda j: due[j.spec.id])
             for place, job in zip(places, theirs, strict=True):
                 order[place] = job
-        self.ahead = overdue_jobs.first_overdue_by_team(order, now)
-        return self.ahead + [job for job in order if job not in self.ahead] if self.ahead else order
+        self.overdue_first = overdue_jobs.first_overdue_by_team(order, now)
+        return (
+            self.overdue_first + [job for job in order if job not in self.overdue_first]
+            if self.overdue_first
+            else order
+        )
 
     def place_all(self, now: float) -> None:
         """Start what can start; `needs` keeps what found no room."""
         cluster = self.cluster
         cluster.count_hidden()
         rebuilding = cluster.rebuilding()
-        machines = self.usable(now)
-        cheapest = self._cheapest(self.spare.spec) if self.spare.spec else float("inf")
+        machines = self.usable_machines(now)
+        cheapest = self._cheapest_price(self.reserve.spec) if self.reserve.spec else float("inf")
         homes = [m for m in machines if not placement.would_pin(m, cheapest)]
-        self.spare.count(
+        self.reserve.recount(
             homes, [j.spec for j in cluster.jobs.values() if not j.over], self.settings["spare_jobs"], self._start_s
         )
-        self.limits = {}
-        self.kept = {}
-        self.work = 0.0
+        self.team_limits = {}
+        self.reserved = {}
+        self.work_done = 0.0
         rebuilt = Reason(Why.REBUILDING, machines=len(cluster.unaccounted), among=len(cluster.machines))
-        order = self.ordered(now)
+        order = self.placement_order(now)
         every, machines = machines, placement.with_room_for_smallest(machines, (j.spec for j in order))
-        before, self.needs = self.needs, []
+        before, self.demands = self.demands, []
         self.changed = self.unfinished and (self.changed or cluster.dirty)
-        jobs = [job for job in order if job.spec.id not in self.passed]
-        for job in self.ahead:
-            if job.spec.id in self.passed:
-                machines = self._hold_back(job, machines, every, now)
+        jobs = [job for job in order if job.spec.id not in self.handled]
+        for job in self.overdue_first:
+            if job.spec.id in self.handled:
+                machines = self._reserve_for_overdue(job, machines, every, now)
         dealt_with = 0
         for job in jobs:
             if rebuilding and job.old:
                 cluster.explain(job, rebuilt, now)
             elif now < job.not_before:
-                cluster.explain(job, self._pausing(job), now)
+                cluster.explain(job, self._pause_reason(job), now)
             elif job.spec.kind is Kind.GANG:
                 self._place_gang(job, machines, now)
-                if job in self.ahead:
-                    machines = self._hold_back(job, machines, every, now)
+                if job in self.overdue_first:
+                    machines = self._reserve_for_overdue(job, machines, every, now)
             elif not self._place_tasks(job, machines, now):
                 break
             dealt_with += 1
-            if self.work >= self.work_limit:
+            if self.work_done >= self.work_limit:
                 break
         self._end_round(order, jobs[:dealt_with], dealt_with == len(jobs), before)
 
-    def _end_round(self, order: list[Job], dealt_with: list[Job], whole: bool, before: list[Need]) -> None:
+    def _end_round(self, order: list[Job], dealt_with: list[Job], whole: bool, before: list[Demand]) -> None:
         """What is left of a pass is dealt with in the next round; until then it needs what it needed before."""
-        if self.passed or not whole:
-            now_known = {need.job.spec.id: need for need in self.needs}
+        if self.handled or not whole:
+            now_known = {demand.job.spec.id: demand for demand in self.demands}
             gone = {job.spec.id for job in dealt_with}
-            earlier = {need.job.spec.id: need for need in before if need.job.spec.id not in gone}
-            needs = (now_known.get(job.spec.id) or _still(earlier.get(job.spec.id)) for job in order)
-            self.needs = [need for need in needs if need is not None]
-        self.passed = set() if whole else self.passed | {job.spec.id for job in dealt_with}
+            earlier = {demand.job.spec.id: demand for demand in before if demand.job.spec.id not in gone}
+            demands = (now_known.get(job.spec.id) or _remaining_demand(earlier.get(job.spec.id)) for job in order)
+            self.demands = [demand for demand in demands if demand is not None]
+        self.handled = set() if whole else self.handled | {job.spec.id for job in dealt_with}
         self.cluster.dirty = whole and self.changed
         self.unfinished = not whole
 
-    def _hold_back(self, job: Job, machines: list[Machine], every: list[Machine], now: float) -> list[Machine]:
+    def _reserve_for_overdue(
+        self, job: Job, machines: list[Machine], every: list[Machine], now: float
+    ) -> list[Machine]:
         """The machines for those behind a gang whose turn it is: they leave it what comes free of its team's limit.
 
         Once it fits into that, also what comes free of the machines that will hold it first; of several gangs, of one.
         """
         if not job.waiting or not overdue_jobs.reserves_room(job, now):
             return machines
-        fits = self._room(job.spec) >= job.spec.tasks
-        self.kept.setdefault(job.spec.team, Use()).add(job.spec, job.spec.tasks)
-        first = next(other for other in self.ahead if overdue_jobs.reserves_room(other, now))
+        fits = self._tasks_allowed(job.spec) >= job.spec.tasks
+        self.reserved.setdefault(job.spec.team, Use()).add(job.spec, job.spec.tasks)
+        first = next(other for other in self.overdue_first if overdue_jobs.reserves_room(other, now))
         if not fits or job is not first:
             return machines
-        self.work += len(every)
+        self.work_done += len(every)
         held = overdue_jobs.reserved_machines(job, every, self.cluster.params.zones)
         return [machine for machine in machines if machine not in held]
 
-    def _room(self, spec: JobSpec) -> int:
-        return self.cluster.quota.room(spec, self.kept.get(spec.team))
+    def _tasks_allowed(self, spec: JobSpec) -> int:
+        return self.cluster.quota.room(spec, self.reserved.get(spec.team))
 
-    def _pausing(self, job: Job) -> Reason:
+    def _pause_reason(self, job: Job) -> Reason:
         """It failed on several machines, or a worker had no room for it after all."""
         if job.pause_s > 0:
             return Reason(Why.PAUSING, machines=len(job.failed_on), until=job.not_before)
@@ -171,29 +181,29 @@
     def _place_tasks(self, job: Job, machines: list[Machine], now: float) -> bool:
         """Whether the job was dealt with; not if the round has done enough while it still finds places."""
         cluster = self.cluster
-        room = self._room(job.spec)
+        room = self._tasks_allowed(job.spec)
         if room > 0:
             candidates = self._candidates(job, machines, now)
             while job.waiting and room > 0:
-                machine = self._preferred(job, candidates, machines) or candidates.best()
+                machine = self._drain_target(job, candidates, machines) or candidates.best()
                 if machine is None:
                     break
                 cluster.place(job, job.waiting.popleft(), machine, now)
                 candidates.placed_on(machine)
-                self.spare.took(machine)
-                self.work += PLACEMENT_WORK
+                self.reserve.update_machine(machine)
+                self.work_done += PLACEMENT_WORK
                 room -= 1
-                if job.waiting and room > 0 and self.work >= self.work_limit:
+                if job.waiting and room > 0 and self.work_done >= self.work_limit:
                     return False
         if job.waiting:
-            self._unplaced(job, min(room, len(job.waiting)), now)
+            self._record_demand(job, min(room, len(job.waiting)), now)
         else:
             cluster.explain(job, reasons.STARTING, now)
         return True
 
     def _candidates(self, job: Job, machines: list[Machine], now: float) -> Candidates:
         spec, zones = job.spec, self.cluster.params.zones
-        self.work += len(machines)
+        self.work_done += len(machines)
         if spec.one_zone and not job.live:
             best = placement.choose_zone(job, machines, zones)
             zones = [best] if best else []
@@ -201,60 +211,69 @@
             spec.kind is Kind.SERVICE
             and not job.ran
             and now - job.since < c.PIN_WAIT_S
-            and self._cheap_to_be_had(spec, now)
+            and self._cheap_machine_available(spec, now)
         ):
-            cheapest = self._cheapest(spec)
+            cheapest = self._cheapest_price(spec)
             machines = [m for m in machines if not placement.would_pin(m, cheapest)]
-        return Candidates(job, machines, zones, self._free_for(job, now), self._start_s(spec))
+        return Candidates(job, machines, zones, self._room_filter(job, now), self._start_s(spec))
 
-    def _free_for(self, job: Job, now: float) -> Callable[[Machine], bool]:
+    def _room_filter(self, job: Job, now: float) -> Callable[[Machine], bool]:
         """Whether the job may use a machine's room: some is kept for replicas, and some is too dear for patient work.
 
         What has waited long and runs nothing begins all the same: one task, or all of a gang.
         """
-        spec, entitled, thrifty = job.spec, self._entitled(job), self._thrifty(job, now)
+        spec, exempt, waits_for_cheap_room = (
+            job.spec,
+            self._exempt_from_reserve(job),
+            self._waits_for_cheap_room(job, now),
+        )
         waited_long = not job.live and now - job.idle_since > c.KEPT_ROOM_MOST_S
 
         def free(machine: Machine) -> bool:
             if waited_long and (spec.kind is Kind.GANG or not job.live):
                 return True
-            if thrifty and not (machine.spot or machine.kept()):
+            if waits_for_cheap_room and not (machine.spot or machine.kept()):
                 return False
-            return entitled or self.spare.allows(spec, machine)
+            return exempt or self.reserve.allows(spec, machine)
 
         return free
 
-    def _entitled(self, job: Job) -> bool:
+    def _exempt_from_reserve(self, job: Job) -> bool:
         """Guaranteed work that only ordinary machines may run need not wait for replicas that nobody has asked for.
 
         While services grow, the room kept for them is always short, and such work would never find any.
         """
-        return not job.spec.spot and job.spec.id in self.inside
+        return not job.spec.spot and job.spec.id in self.within_guarantee
 
     def _start_s(self, spec: JobSpec) -> float:
-        return supply.start_s(spec, self.cluster.params.objectives)
+        return supply.start_target_s(spec, self.cluster.params.objectives)
 
-    def _thrifty(self, job: Job, now: float) -> bool:
+    def _waits_for_cheap_room(self, job: Job, now: float) -> bool:
         """Work beyond a guarantee that has much time left waits for cheap room, and lets dear machines get empty."""
         spec = job.spec
-        if spec.kind is not Kind.ARRAY or not spec.spot or spec.id in self.inside or self._turns(job, now) <= 1:
+        if (
+            spec.kind is not Kind.ARRAY
+            or not spec.spot
+            or spec.id in self.within_guarantee
+            or self._tasks_per_slot(job, now) <= 1
+        ):
             return False
         waited = now - job.since
         return waited < c.THRIFT_SHARE * (waited + supply.slack_s(job, self.cluster.params.objectives, now))
 
-    def _cheapest(self, spec: JobSpec) -> float:
+    def _cheapest_price(self, spec: JobSpec) -> float:
         """The lowest price of an ordinary machine that the task fits."""
         return min((t.price for t in self.cluster.types.values() if fits_type(spec, t)), default=0.0)
 
-    def _cheap_to_be_had(self, spec: JobSpec, now: float) -> bool:
-        most = self._cheapest(spec) * c.PIN_RATIO
+    def _cheap_machine_available(self, spec: JobSpec, now: float) -> bool:
+        most = self._cheapest_price(spec) * c.PIN_RATIO
         return any(
-            self.blocked.get(Offer(t.name, zone, False), 0.0) <= now
+            self.blocked_until.get(Offer(t.name, zone, False), 0.0) <= now
             for t in self.cluster.types.values() if t.price <= most and fits_type(spec, t)
             for zone in t.zones if allowed_on(spec, t.name, zone, False)
         )  # fmt: skip
 
-    def _preferred(self, job: Job, candidates: Candidates, machines: list[Machine]) -> Machine | None:
+    def _drain_target(self, job: Job, candidates: Candidates, machines: list[Machine]) -> Machine | None:
         """Where a drain promised the next task a place."""
         target = job.prefer.pop(job.waiting[0], None)
         return target if target is not None and target in machines and candidates.fits(target) else None
@@ -265,145 +284,151 @@
         if job.live:
             cluster.explain(job, Reason(Why.LEAVING, tasks=len(job.live)), now)
             return
-        if self._room(spec) < spec.tasks:
-            cluster.explain(job, self._limited(spec), now)
+        if self._tasks_allowed(spec) < spec.tasks:
+            cluster.explain(job, self._team_limit(spec), now)
             return
         candidates = self._candidates(job, machines, now)
         number = cluster.new_number()
         placed: list[Attempt] = []
         while job.waiting and (machine := candidates.best()) is not None:
             placed.append(cluster.place(job, job.waiting.popleft(), machine, now, number))
-            self.work += PLACEMENT_WORK
+            self.work_done += PLACEMENT_WORK
             candidates.placed_on(machine)
-            self.spare.took(machine)
+            self.reserve.update_machine(machine)
         if job.waiting:
             for attempt in placed:
                 cluster.undo(attempt)
-                self.spare.took(attempt.machine)
-            self._unplaced(job, spec.tasks, now, placement.free_together(job, machines))
+                self.reserve.update_machine(attempt.machine)
+            self._record_demand(job, spec.tasks, now, placement.free_together(job, machines))
         else:
             cluster.explain(job, reasons.STARTING, now)
 
-    def _limited(self, spec: JobSpec) -> Reason:
+    def _team_limit(self, spec: JobSpec) -> Reason:
         """The team's limit, as it stands when it first stops a job of the team in this round."""
-        held = self.limits.get(spec.team)
+        held = self.team_limits.get(spec.team)
         if held is None:
-            held = self.limits[spec.team] = self.cluster.quota.at_limit(spec)
+            held = self.team_limits[spec.team] = self.cluster.quota.at_limit(spec)
         return held
 
-    def _unplaced(self, job: Job, count: int, now: float, free: tuple[str, int] | None = None) -> None:
+    def _record_demand(self, job: Job, count: int, now: float, free: tuple[str, int] | None = None) -> None:
         """`rent` says in the same round what is done about it, unless it is too soon after the last time."""
         if count <= 0:
-            self.cluster.explain(job, self._limited(job.spec), now)
+            self.cluster.explain(job, self._team_limit(job.spec), now)
             return
         if job.reason.kind not in reasons.SUPPLY:
             self.cluster.explain(job, Reason(Why.NO_ROOM, tasks=count, each=reasons.each(job.spec)), now)
-        self.needs.append(Need(job, count, dict(Counter(a.machine.zone for a in job.live.values())), free=free))
+        self.demands.append(
+            Demand(job, count, dict(Counter(a.machine.zone for a in job.live.values())), free_together=free)
+        )
 
     # --- preempting -------------------------------------------------------------------------------
 
     def preempt(self, now: float) -> None:
         """Make room for what may preempt, stopping the tasks that lose least."""
         left = c.PREEMPT_MOST
-        inside = self.inside
-        machines = self.usable(now) if self.needs else []
+        inside = self.within_guarantee
+        machines = self.usable_machines(now) if self.demands else []
         running = (j for j in self.cluster.jobs.values() if j.live and j.spec.kind is Kind.ARRAY)
-        last = max(map(self._place_key, running), default=(False, 0))
+        last = max(map(self._placement_key, running), default=(False, 0))
         stopping: bool | None = None  # looked up only if somebody may be stopped
-        for need in self.needs:
-            job = need.job
+        for demand in self.demands:
+            job = demand.job
             if left <= 0:
                 return
-            if (job.rank > URGENT and job.spec.id not in inside) or now < job.preempt_after:
+            if (job.rank > PREEMPTING_RANK and job.spec.id not in inside) or now < job.preempt_after:
                 continue
-            if self._place_key(job) >= last:  # nothing runs that would be placed later
+            if self._placement_key(job) >= last:  # nothing runs that would be placed later
                 continue
-            if stopping is None and (stopping := self._stopping()):
+            if stopping is None and (stopping := self._preemption_under_way()):
                 return
             job.preempt_after = now + c.PREEMPT_PAUSE_S
-            for victims in self._chosen(need, machines, left, now):
+            for victims in self._choose_victims(demand, machines, left, now):
                 for victim in victims:
-                    self.cluster.stop(victim, victim.job.spec.save_s, STOPPED_FOR + job.spec.id)
+                    self.cluster.stop(victim, victim.job.spec.save_s, PREEMPTED_FOR + job.spec.id)
                 left -= len(victims)
 
-    def _chosen(self, need: Need, machines: list[Machine], left: int, now: float) -> list[list[Attempt]]:
-        job = need.job
+    def _choose_victims(self, demand: Demand, machines: list[Machine], left: int, now: float) -> list[list[Attempt]]:
+        job = demand.job
         if job.spec.kind is not Kind.GANG:
-            return self._victims(job, machines, min(need.count, left), now)
-        open_to = [m for m in self._open_to(job, machines) if self._entitled(job) or self.spare.allows(job.spec, m)]
-        victims = gangs.victims_for_gang(job, open_to, lambda m: self._stoppable(job, m), now)
+            return self._cheapest_victims(job, machines, min(demand.count, left), now)
+        allowed = [
+            m
+            for m in self._allowed_machines(job, machines)
+            if self._exempt_from_reserve(job) or self.reserve.allows(job.spec, m)
+        ]
+        victims = gangs.victims_for_gang(job, allowed, lambda m: self._preemptable(job, m), now)
         return [victims] if len(victims) <= left else []
 
-    def _stopping(self) -> bool:
+    def _preemption_under_way(self) -> bool:
         """Whether somebody still leaves for another; who is cancelled or drained makes no room that is spoken for."""
         return any(
-            a.stopped_for.startswith(STOPPED_FOR) for m in self.cluster.machines.values() for a in m.attempts.values()
+            a.stopped_for.startswith(PREEMPTED_FOR) for m in self.cluster.machines.values() for a in m.attempts.values()
         )
 
-    def _place_key(self, job: Job) -> tuple[bool, int]:
+    def _placement_key(self, job: Job) -> tuple[bool, int]:
         """Jobs are placed in this order, by age within it."""
-        return (job.spec.id not in self.inside, job.rank)
+        return (job.spec.id not in self.within_guarantee, job.rank)
 
-    def _may_stop(self, victim: Attempt, job: Job, inside: set[str]) -> bool:
+    def _may_preempt(self, victim: Attempt, job: Job, inside: set[str]) -> bool:
         """Only what would also be placed after the job: else it takes the room back, again and again."""
         other, guaranteed = victim.job.spec, job.spec.id in inside
         if not victim.wanted or victim.phase is not Phase.THERE or other.kind is not Kind.ARRAY:
             return False
-        if self._place_key(victim.job) <= self._place_key(job):
+        if self._placement_key(victim.job) <= self._placement_key(job):
             return False
         if victim.job.rank > job.rank:
             return True
         return guaranteed and other.team != job.spec.team and self.cluster.quota.over_guarantee(other.team)
 
-    def _victims(self, job: Job, machines: list[Machine], count: int, now: float) -> list[list[Attempt]]:
+    def _cheapest_victims(self, job: Job, machines: list[Machine], count: int, now: float) -> list[list[Attempt]]:
         """Whom to stop for so many of the job's tasks: the cheapest, one task's room a machine."""
         found = []
-        for n, machine in enumerate(self._open_to(job, machines)):
-            victims = self._enough(job, machine, now)
+        for n, machine in enumerate(self._allowed_machines(job, machines)):
+            victims = self._victims_on(job, machine, now)
             if victims:
                 found.append((sum(lost_work(a, now) for a in victims), n, victims))
         return [victims for _, _, victims in heapq.nsmallest(count, found)]
 
-    def _open_to(self, job: Job, machines: list[Machine]) -> list[Machine]:
+    def _allowed_machines(self, job: Job, machines: list[Machine]) -> list[Machine]:
         """Where its tasks may be, and no room is kept for replicas."""
         zones = set(placement.allowed_zones(job, self.cluster.params.zones))
         return [
             m for m in machines
             if m.zone in zones and allowed_on(job.spec, m.type.name, m.zone, m.spot)
-            and not (self.spare.short() and self.spare.guards(job.spec, m))
+            and not (self.reserve.is_short() and self.reserve.covers(job.spec, m))
         ]  # fmt: skip
 
-    def _stoppable(self, job: Job, machine: Machine) -> list[Attempt]:
-        return [a for a in machine.attempts.values() if self._may_stop(a, job, self.inside)]
+    def _preemptable(self, job: Job, machine: Machine) -> list[Attempt]:
+        return [a for a in machine.attempts.values() if self._may_preempt(a, job, self.within_guarantee)]
 
-    def _enough(self, job: Job, machine: Machine, now: float) -> list[Attempt]:
+    def _victims_on(self, job: Job, machine: Machine, now: float) -> list[Attempt]:
         """Those on the machine that would have to go, least lost work first; empty if that is not enough."""
         spec = job.spec
-        may = self._stoppable(job, machine)
+        may = self._preemptable(job, machine)
         free = [machine.free_cpus, machine.free_gpus, machine.free_gb]
-        need = (spec.cpus, spec.gpus, spec.memory_gb)
+        demand = (spec.cpus, spec.gpus, spec.memory_gb)
         victims: list[Attempt] = []
         for victim in sorted(may, key=lambda a: lost_work(a, now)):
-            if all(f >= n - EPS for f, n in zip(free, need, strict=True)):
+            if all(f >= n - EPS for f, n in zip(free, demand, strict=True)):
                 return victims
             victims.append(victim)
             gains = (victim.job.spec.cpus, victim.job.spec.gpus, victim.job.spec.memory_gb)
             free = [f + g for f, g in zip(free, gains, strict=True)]
-        return victims if all(f >= n - EPS for f, n in zip(free, need, strict=True)) else []
+        return victims if all(f >= n - EPS for f, n in zip(free, demand, strict=True)) else []
 
     # --- renting ----------------------------------------------------------------------------------
 
     def booting_bins(self, now: float) -> list[Bin]:
         bins = [
-            fleet.bin_of(Offer(m.type.name, m.zone, m.spot), m.type)
+            fleet.empty_bin(Offer(m.type.name, m.zone, m.spot), m.type)
             for m in self.cluster.machines.values()
-            if self._coming(m, now)
+            if self._expected_up(m, now)
         ]
-        for offer, count in self.asked.items():
-            bins += [fleet.bin_of(offer, self.cluster.types[offer.type]) for _ in range(count)]
+        for offer, count in self.requested.items():
+            bins += [fleet.empty_bin(offer, self.cluster.types[offer.type]) for _ in range(count)]
         return bins
 
-    def _coming(self, machine: Machine, now: float) -> bool:
+    def _expected_up(self, machine: Machine, now: float) -> bool:
         if machine.status is Status.JOINING:
             return True
         return (
@@ -413,88 +438,105 @@
             and now - machine.born < self.cluster.boots.expected_s(machine.type)
         )
 
-    def rent(self, now: float) -> list[Offer]:
+    def offers_to_rent(self, now: float) -> list[Offer]:
         """What to ask the cloud for, after counting on what is already booting."""
-        needs = [
-            Need(n.job, n.count, dict(n.spread), self._thrifty(n.job, now), self._turns(n.job, now)) for n in self.needs
+        demands = [
+            Demand(
+                n.job,
+                n.count,
+                dict(n.tasks_per_zone),
+                self._waits_for_cheap_room(n.job, now),
+                self._tasks_per_slot(n.job, now),
+            )
+            for n in self.demands
         ]
-        wanted = len(needs)
+        wanted = len(demands)
         bins = self.booting_bins(now)
-        least = fleet.smallest(needs)
-        fleet.fill_all(bins, needs, least)
-        after_boot = [need.count for need in needs]
-        self._count_on_finishing(needs, now)
-        after_finish = [need.count for need in needs]
-        needs += self._spare_need(now)
-        blocked = {offer for offer, until in self.blocked.items() if until > now} | set(self.asked)
+        least = fleet.smallest_task(demands)
+        fleet.fill_all(bins, demands, least)
+        after_boot = [demand.count for demand in demands]
+        self._assign_finishing_slots(demands, now)
+        after_finish = [demand.count for demand in demands]
+        demands += self._reserve_demand(now)
+        blocked = {offer for offer, until in self.blocked_until.items() if until > now} | set(self.requested)
         blocked |= {
             Offer(t.name, zone, spot)
             for t in self.cluster.types.values()
             for zone in self.unreachable_zones
             for spot in (False, True)
         }
-        chosen = fleet.choose(needs, list(self.cluster.types.values()), blocked, c.HIRE_COUNT_MOST)
-        short = shortage.Shortage(
-            self.cluster.types, self.blocked, set(self.asked), self.unreachable_zones, bins, self._first_up(now), now
+        chosen = fleet.choose_offers(demands, list(self.cluster.types.values()), blocked, c.HIRE_COUNT_MOST)
+        short = shortage.ShortageExplainer(
+            self.cluster.types,
+            self.blocked_until,
+            set(self.requested),
+            self.unreachable_zones,
+            bins,
+            self._first_boot_at(now),
+            now,
         )
-        for need, booted, finished, left in zip(self.needs, after_boot, after_finish, needs[:wanted], strict=True):
-            reason = short.reason(left, need.count, booted, finished)
-            if need.free is not None:
-                zone, free = need.free
-                reason = msgspec.structs.replace(reason, free=free, zone=zone, gang=need.job.spec.tasks)
-            self.cluster.explain(need.job, reason, now)
+        for demand, booted, finished, left in zip(
+            self.demands, after_boot, after_finish, demands[:wanted], strict=True
+        ):
+            reason = short.reason(left, demand.count, booted, finished)
+            if demand.free_together is not None:
+                zone, free = demand.free_together
+                reason = msgspec.structs.replace(reason, free=free, zone=zone, gang=demand.job.spec.tasks)
+            self.cluster.explain(demand.job, reason, now)
         return chosen
 
-    def hold(self, now: float) -> None:
+    def explain_renting_held(self, now: float) -> None:
         """Nothing may be rented now, so nobody is told of machines that will come."""
-        for need in self.needs:
-            spec = need.job.spec
-            self.cluster.explain(need.job, Reason(Why.HELD, tasks=need.count, each=reasons.each(spec)), now)
+        for demand in self.demands:
+            spec = demand.job.spec
+            self.cluster.explain(demand.job, Reason(Why.HELD, tasks=demand.count, each=reasons.each(spec)), now)
 
-    def _first_up(self, now: float) -> float | None:
+    def _first_boot_at(self, now: float) -> float | None:
         """About when the first of the machines that are booting will be up."""
-        booting = [m for m in self.cluster.machines.values() if m.status is Status.BOOTING and self._coming(m, now)]
+        booting = [
+            m for m in self.cluster.machines.values() if m.status is Status.BOOTING and self._expected_up(m, now)
+        ]
         return min((max(now, m.born + m.type.boot_s) for m in booting), default=None)
 
-    def _spare_need(self, now: float) -> list[Need]:
+    def _reserve_demand(self, now: float) -> list[Demand]:
         """Room for replicas that is neither there nor booting; only on machines that a replica would not pin."""
-        if self.spare.spec is None or self.cluster.rebuilding():
+        if self.reserve.spec is None or self.cluster.rebuilding():
             return []
-        cheapest = self._cheapest(self.spare.spec)
+        cheapest = self._cheapest_price(self.reserve.spec)
         homes = [t.name for t in self.cluster.types.values() if t.price <= c.PIN_RATIO * cheapest]
         coming = sum(
-            room.slots(self.spare.spec)
+            room.slots(self.reserve.spec)
             for room in self.booting_bins(now)
             if not room.offer.spot and room.offer.type in homes
         )
-        short = self.spare.wanted - self.spare.free() - coming
-        spec = msgspec.structs.replace(self.spare.spec, types=homes)
-        return [Need(Job(spec, 0, now, False), short)] if short > 0 else []
+        short = self.reserve.wanted_slots - self.reserve.free_slots() - coming
+        spec = msgspec.structs.replace(self.reserve.spec, types=homes)
+        return [Demand(Job(spec, 0, now, False), short)] if short > 0 else []
 
-    def _count_on_finishing(self, needs: list[Need], now: float) -> None:
+    def _assign_finishing_slots(self, demands: list[Demand], now: float) -> None:
         """What running tasks will free soon enough needs no new machine.
 
         Thousands run, so they are looked at only if somebody waits for places, and kept only if that is soon enough.
         """
-        waiting = [(n, self._patience_s(n.job, now)) for n in needs if n.job.spec.kind is Kind.ARRAY and n.count > 0]
+        waiting = [(n, self._patience_s(n.job, now)) for n in demands if n.job.spec.kind is Kind.ARRAY and n.count > 0]
         if not waiting:
             return
         longest = max(patience_s for _, patience_s in waiting)
         places = [
-            supply.Place(a.machine, a.job.spec, free_in_s)
-            for m in self.usable(now) for a in m.attempts.values()
+            supply.FinishingSlot(a.machine, a.job.spec, free_in_s)
+            for m in self.usable_machines(now) for a in m.attempts.values()
             if a.job.spec.kind is Kind.ARRAY and a.wanted and (free_in_s := supply.remaining_s(a, now)) <= longest
         ]  # fmt: skip
-        places.sort(key=supply.SOONEST)
-        for need, patience_s in waiting:
-            supply.absorb(need, places, patience_s)
+        places.sort(key=supply.BY_FREE_TIME)
+        for demand, patience_s in waiting:
+            supply.assign_finishing_slots(demand, places, patience_s)
 
     def _patience_s(self, job: Job, now: float) -> float:
         """How long the job's tasks may wait for places: at least as long as a new machine would take."""
         boot_s = min((kind.boot_s for kind in self.cluster.types.values()), default=0.0)
         return max(boot_s, supply.slack_s(job, self.cluster.params.objectives, now) - boot_s)
 
-    def _turns(self, job: Job, now: float) -> int:
+    def _tasks_per_slot(self, job: Job, now: float) -> int:
         if job.spec.kind is not Kind.ARRAY or job.spec.estimate_s <= 0:
             return 1
         boot_s = max((kind.boot_s for kind in self.cluster.types.values()), default=0.0)
@@ -509,28 +551,28 @@
             log.info("%s", said)
             self.cluster.listener.noted("dark", said, now)
 
-    def refused(self, offer: Offer, now: float) -> None:
-        pause = min(c.NO_CAPACITY_PAUSE_MOST_S, max(c.NO_CAPACITY_PAUSE_S, self.pauses.get(offer, 0.0) * 2))
-        self.pauses[offer] = pause
-        self.blocked[offer] = now + pause
+    def offer_refused(self, offer: Offer, now: float) -> None:
+        pause = min(c.NO_CAPACITY_PAUSE_MOST_S, max(c.NO_CAPACITY_PAUSE_S, self.refusal_pause_s.get(offer, 0.0) * 2))
+        self.refusal_pause_s[offer] = pause
+        self.blocked_until[offer] = now + pause
 
-    def granted(self, offer: Offer) -> None:
+    def offer_granted(self, offer: Offer) -> None:
         """There is some, or will be: we gave one back."""
-        self.pauses.pop(offer, None)
-        self.blocked.pop(offer, None)
+        self.refusal_pause_s.pop(offer, None)
+        self.blocked_until.pop(offer, None)
 
     # --- returning --------------------------------------------------------------------------------
 
-    def idle(self, now: float) -> list[Machine]:
+    def machines_to_return(self, now: float) -> list[Machine]:
         """Machines without tasks that cost more than they may save."""
         idle = [m for m in self.cluster.machines.values() if not m.attempts and self._may_return(m, now)]
         out = []
-        for machine in sorted(idle, key=self.spare.worth):
-            broken = _broken(machine)
-            if not broken and self.spare.needs(machine):
+        for machine in sorted(idle, key=self.reserve.slow_image_count):
+            unusable = _takes_no_tasks(machine)
+            if not unusable and self.reserve.needs_machine(machine):
                 continue
-            if broken or machine.draining is not None or not self._needed(machine, now):
-                self.spare.drop(machine)
+            if unusable or machine.draining is not None or not self._is_needed(machine, now):
+                self.reserve.remove_machine(machine)
                 out.append(machine)
         return out
 
@@ -538,7 +580,7 @@
         """Up, and of no use by itself: what depends on the others is looked at for these few."""
         if machine.status is not Status.UP or machine.idle_since is None:
             return False
-        if not (_broken(machine) or machine.draining is not None or self._idle_long(machine, now)):
+        if not (_takes_no_tasks(machine) or machine.draining is not None or self._idle_long(machine, now)):
             return False
         return not self.zones.keeps_machines(machine.zone, now)
 
@@ -550,11 +592,11 @@
 
     # --- draining ---------------------------------------------------------------------------------
 
-    def drain(self, now: float) -> None:
-        if now - self.drained_at < self.settings["drain_every_s"]:
+    def start_drain(self, now: float) -> None:
+        if now - self.last_drain_at < self.settings["drain_every_s"]:
             return
-        self.drained_at = now
-        machines = self.usable(now)
+        self.last_drain_at = now
+        machines = self.usable_machines(now)
         settings = self.settings
         choice = draining.choose_drain(
             machines,
@@ -562,10 +604,10 @@
             settings["drain_age_s"],
             settings["drain_lost_s"],
             now,
-            lambda m: self._needed(m, now),
+            lambda m: self._is_needed(m, now),
         )
         if choice is None:
-            self._drain_cancelled(machines, now)
+            self._report_drain_cancelled(machines, now)
             return
         self.drains_begun += 1
         choice.machine.draining = "underused"
@@ -575,7 +617,7 @@
             attempt.job.prefer[attempt.task] = target
             self.cluster.stop(attempt, attempt.job.spec.save_s, "its machine is drained")
 
-    def _drain_cancelled(self, machines: list[Machine], now: float) -> None:
+    def _report_drain_cancelled(self, machines: list[Machine], now: float) -> None:
         """Counted each round; told of the least used machine, and again only if it is another or for another reason."""
         settings = self.settings
         low = draining.underused(machines, settings["drain_threshold"])
@@ -583,43 +625,43 @@
         if not low:
             return
         why = draining.reason_not_drained(
-            low[0], machines, settings["drain_age_s"], settings["drain_lost_s"], now, lambda m: self._needed(m, now)
+            low[0], machines, settings["drain_age_s"], settings["drain_lost_s"], now, lambda m: self._is_needed(m, now)
         )
-        if (low[0].name, why) != self.drain_cancelled:
-            self.drain_cancelled = (low[0].name, why)
+        if (low[0].name, why) != self.last_drain_cancelled:
+            self.last_drain_cancelled = (low[0].name, why)
             self.cluster.listener.machine(low[0], "drain cancelled", why, now)
 
-    def _needed(self, machine: Machine, now: float) -> bool:
+    def _is_needed(self, machine: Machine, now: float) -> bool:
         """Whether a waiting task would go there; thrifty ones wait for cheaper room."""
         return any(
             machine.has_room(n.job.spec) and allowed_on(n.job.spec, machine.type.name, machine.zone, machine.spot)
-            and (machine.spot or not self._thrifty(n.job, now))
-            for n in self.needs
+            and (machine.spot or not self._waits_for_cheap_room(n.job, now))
+            for n in self.demands
         )  # fmt: skip
 
-    def notices(self, now: float) -> None:
+    def stop_before_reclaim(self, now: float) -> None:
         """A spot machine about to be taken is drained; what will finish in time is left alone."""
         for machine in self.cluster.machines.values():
             if machine.notice_at is None:
                 continue
             for attempt in list(machine.attempts.values()):
-                if attempt.wanted and not self._finishes(attempt, machine.notice_at, now):
+                if attempt.wanted and not self._finishes_by(attempt, machine.notice_at, now):
                     self.cluster.stop(attempt, attempt.job.spec.save_s, "the cloud takes its machine")
 
-    def _finishes(self, attempt: Attempt, at: float, now: float) -> bool:
+    def _finishes_by(self, attempt: Attempt, at: float, now: float) -> bool:
         if attempt.job.spec.estimate_s <= 0:
             return False
         began = attempt.running_at if attempt.running_at is not None else now
         return began + attempt.job.spec.estimate_s <= at
 
 
-def _still(need: Need | None) -> Need | None:
+def _remaining_demand(demand: Demand | None) -> Demand | None:
     """What is left of a need of an earlier round; tasks may have been placed or ended since."""
-    if need is None or need.job.over or not need.job.waiting:
+    if demand is None or demand.job.over or not demand.job.waiting:
         return None
-    return replace(need, count=min(need.count, len(need.job.waiting)))
+    return replace(demand, count=min(demand.count, len(demand.job.waiting)))
 
 
-def _broken(machine: Machine) -> bool:
+def _takes_no_tasks(machine: Machine) -> bool:
     """It takes no tasks any more, whatever waits."""
     return machine.quarantined or machine.notice_at is not None
--- a/pepperlatch/policy/supply.py
+++ b/pepperlatch/policy/supply.py
@@ -10,16 +10,16 @@
 import msgspec
 
 from pepperlatch.constants import core as c
-from pepperlatch.policy.fleet import Need
+from pepperlatch.policy.fleet import Demand
 from pepperlatch.policy.model import EPS, Attempt, Job, Machine, allowed_on
 from pepperlatch.protocol.wire import JobSpec, Kind
 from pepperlatch.settings import Objective
 
-SOONEST = attrgetter("free_in_s")
+BY_FREE_TIME = attrgetter("free_in_s")
 
 
 @dataclass(slots=True)
-class Place:
+class FinishingSlot:
     """Room that a running task will leave."""
 
     machine: Machine
@@ -47,7 +47,7 @@
     return max(0.0, min(slack, default=0.0) * c.SLACK_SHARE)
 
 
-def start_s(spec: JobSpec, objectives: Iterable[Objective]) -> float:
+def start_target_s(spec: JobSpec, objectives: Iterable[Objective]) -> float:
     """How soon the class's tasks are to start, by the strictest aim; for ever if there is none."""
     return min(
         (
@@ -59,7 +59,7 @@
     )
 
 
-def next_due(job: Job, objectives: Iterable[Objective], inside: bool, now: float) -> float:
+def next_deadline(job: Job, objectives: Iterable[Objective], inside: bool, now: float) -> float:
     """When the job's tasks must start for the next aim that can still be met; for ever if none can.
 
     What is late anyway yields to what is not yet: in a crowd that nobody can serve in time, strict order
@@ -79,18 +79,18 @@
     return job.since + min((end for end in ends if end > waited + c.START_S), default=math.inf)
 
 
-def absorb(need: Need, places: list[Place], patience_s: float) -> None:
+def assign_finishing_slots(demand: Demand, slots: list[FinishingSlot], patience_s: float) -> None:
     """Let finishing tasks' places serve the need, several in a row where time allows; they come free later then.
 
     `places` are sorted, the soonest first, and are again when it returns.
     """
-    spec = need.job.spec
+    spec = demand.job.spec
     run_s = max(spec.estimate_s, 1.0)
     taken = False
-    for place in places:
-        if need.count <= 0 or place.free_in_s > patience_s:
+    for slot in slots:
+        if demand.count <= 0 or slot.free_in_s > patience_s:
             break
-        machine, old = place.machine, place.spec
+        machine, old = slot.machine, slot.spec
         fits = (
             spec.cpus <= old.cpus + EPS
             and spec.gpus <= old.gpus + EPS
@@ -98,16 +98,16 @@
         )
         if not fits or not allowed_on(spec, machine.type.name, machine.zone, machine.spot):
             continue
-        count = min(need.count, 1 + int((patience_s - place.free_in_s) // run_s))
-        need.count -= count
-        place.free_in_s += count * run_s
+        count = min(demand.count, 1 + int((patience_s - slot.free_in_s) // run_s))
+        demand.count -= count
+        slot.free_in_s += count * run_s
         taken = True
     if taken:
-        places.sort(key=SOONEST)
+        slots.sort(key=BY_FREE_TIME)
 
 
 @dataclass(slots=True)
-class Spare:
+class ReplicaReserve:
     """Room for replicas on ordinary machines, which other work may not take.
 
     As much on machines that hold an image of the services as in all: an image takes longer to fetch
@@ -115,14 +115,16 @@
     """
 
     spec: JobSpec | None = None  # the largest replica there is, as a job that nobody submitted
-    wanted: int = 0
-    usual: int = 0  # replicas of a usual service
-    _fetched_at: dict[str, float] = field(default_factory=dict)  # image -> GB a second that would be soon enough
+    wanted_slots: int = 0
+    typical_service_slots: int = 0  # replicas of a usual service
+    _required_fetch_rate: dict[str, float] = field(
+        default_factory=dict
+    )  # image -> GB a second that would be soon enough
     _slots: dict[Machine, int] = field(default_factory=dict)
-    _total: int = 0
-    _holding: Counter[str] = field(default_factory=Counter)  # places on machines that hold an image
+    _total_slots: int = 0
+    _slots_with_image: Counter[str] = field(default_factory=Counter)  # places on machines that hold an image
 
-    def count(
+    def recount(
         self,
         machines: Iterable[Machine],
         specs: list[JobSpec],
@@ -138,19 +140,21 @@
             if largest is None
             else msgspec.structs.replace(largest, id="", one_zone=False, spread=False, tasks=most, spot=False)
         )
-        self.wanted = math.ceil(jobs * most)
-        self.usual = min(self.wanted, int(statistics.median(s.tasks for s in replicas))) if replicas else 0
-        self._fetched_at = {}
+        self.wanted_slots = math.ceil(jobs * most)
+        self.typical_service_slots = (
+            min(self.wanted_slots, int(statistics.median(s.tasks for s in replicas))) if replicas else 0
+        )
+        self._required_fetch_rate = {}
         for spec in replicas:
             rate = spec.image_gb * c.FETCH_SPREAD / max(start_s(spec), EPS)
-            self._fetched_at[spec.image] = max(rate, self._fetched_at.get(spec.image, 0.0))
-        self._slots, self._total, self._holding = {}, 0, Counter()
+            self._required_fetch_rate[spec.image] = max(rate, self._required_fetch_rate.get(spec.image, 0.0))
+        self._slots, self._total_slots, self._slots_with_image = {}, 0, Counter()
         for machine in machines if self.spec else ():
             if not machine.spot:
                 self._slots[machine] = 0
-                self.took(machine)
+                self.update_machine(machine)
 
-    def _fit(self, machine: Machine, taken: JobSpec | None = None) -> int:
+    def _slots_free(self, machine: Machine, taken: JobSpec | None = None) -> int:
         if self.spec is None:
             return 0
         need = (self.spec.cpus, self.spec.gpus, self.spec.memory_gb)
@@ -160,57 +164,59 @@
             0, min((int((f - t + EPS) // n) for n, f, t in zip(need, free, less, strict=True) if n > 0), default=0)
         )
 
-    def free(self, image: str | None = None) -> int:
-        return self._total if image is None else self._holding[image]
+    def free_slots(self, image: str | None = None) -> int:
+        return self._total_slots if image is None else self._slots_with_image[image]
 
-    def took(self, machine: Machine) -> None:
+    def update_machine(self, machine: Machine) -> None:
         """The machine's room has changed."""
         if machine not in self._slots:
             return
-        more = self._fit(machine) - self._slots[machine]
+        more = self._slots_free(machine) - self._slots[machine]
         if more:
             self._slots[machine] += more
-            self._total += more
-            for image in self._kept(machine):
-                self._holding[image] += more
+            self._total_slots += more
+            for image in self._slow_images(machine):
+                self._slots_with_image[image] += more
 
-    def short(self) -> bool:
-        return self.free() < self.wanted
+    def is_short(self) -> bool:
+        return self.free_slots() < self.wanted_slots
 
-    def guards(self, spec: JobSpec, machine: Machine) -> bool:
+    def covers(self, spec: JobSpec, machine: Machine) -> bool:
         return spec.kind is not Kind.SERVICE and machine in self._slots
 
-    def needs(self, machine: Machine) -> bool:
+    def needs_machine(self, machine: Machine) -> bool:
         """Whether room would be short without the machine: in all, or for a usual service where a slow image is."""
         slots = self._slots.get(machine)
         if slots is None:
             return False
-        return self._total - slots < self.wanted or any(
-            self._holding[image] - slots < self.usual for image in self._kept(machine)
+        return self._total_slots - slots < self.wanted_slots or any(
+            self._slots_with_image[image] - slots < self.typical_service_slots for image in self._slow_images(machine)
         )
 
-    def worth(self, machine: Machine) -> int:
+    def slow_image_count(self, machine: Machine) -> int:
         """How many slow images its room serves."""
-        return len(self._kept(machine))
+        return len(self._slow_images(machine))
 
-    def drop(self, machine: Machine) -> None:
+    def remove_machine(self, machine: Machine) -> None:
         """The machine is returned; the next one is judged without it."""
         slots = self._slots.pop(machine, 0)
-        self._total -= slots
-        for image in self._kept(machine):
-            self._holding[image] -= slots
+        self._total_slots -= slots
+        for image in self._slow_images(machine):
+            self._slots_with_image[image] -= slots
 
     def allows(self, spec: JobSpec, machine: Machine) -> bool:
         """Whether a task may go there: replicas always, others only if enough room stays."""
-        if not self.guards(spec, machine):
+        if not self.covers(spec, machine):
             return True
-        lost = self._slots[machine] - self._fit(machine, spec)
+        lost = self._slots[machine] - self._slots_free(machine, spec)
         if lost <= 0:
             return True
-        if self._total - lost < self.wanted:
+        if self._total_slots - lost < self.wanted_slots:
             return False
-        return all(self._holding[image] - lost >= self.wanted for image in self._kept(machine))
+        return all(self._slots_with_image[image] - lost >= self.wanted_slots for image in self._slow_images(machine))
 
-    def _kept(self, machine: Machine) -> list[str]:
+    def _slow_images(self, machine: Machine) -> list[str]:
         """Images here that a new replica could not wait for elsewhere."""
-        return [image for image in machine.images if self._fetched_at.get(image, 0.0) > machine.type.fetch_gb_per_s]
+        return [
+            image for image in machine.images if self._required_fetch_rate.get(image, 0.0) > machine.type.fetch_gb_per_s
+        ]
--- a/tests/gangs/test_room.py
+++ b/tests/gangs/test_room.py
@@ -130,18 +130,18 @@
 ) -> None:
     """Four fifths of a round's renting went into machines whose cards were taken and whose CPUs were not."""
 
-    def needs() -> list[fleet.Need]:
+    def needs() -> list[fleet.Demand]:
         return [
-            fleet.Need(Job(spec_of(n, pieces=9, cores=float(cpus), gpus=gpus, memory_gb=1.0), n, 0.0, False), count)
+            fleet.Demand(Job(spec_of(n, pieces=9, cores=float(cpus), gpus=gpus, memory_gb=1.0), n, 0.0, False), count)
             for n, (cpus, gpus, count) in enumerate(rows)
         ]
 
     offer = fleet.Offer(KIND.name, "a", False)
     never: fleet.Size = (-1.0, -1.0, -1.0)
     mine, theirs = needs(), needs()
-    fleet.bin_of(offer, KIND).fill(mine, fleet.smallest(mine))
-    fleet.bin_of(offer, KIND).fill(theirs, never)
+    fleet.empty_bin(offer, KIND).fill(mine, fleet.smallest_task(mine))
+    fleet.empty_bin(offer, KIND).fill(theirs, never)
     assert [need.count for need in mine] == [need.count for need in theirs]
-    assert fleet.bin_of(offer, KIND).would_take(needs(), fleet.smallest(mine)) == fleet.bin_of(offer, KIND).would_take(
-        needs(), never
-    )
+    assert fleet.empty_bin(offer, KIND).would_take(needs(), fleet.smallest_task(mine)) == fleet.empty_bin(
+        offer, KIND
+    ).would_take(needs(), never)
--- a/tests/meetings/test_machines_and_leaders.py
+++ b/tests/meetings/test_machines_and_leaders.py
@@ -79,7 +79,7 @@
         await trio.sleep(2 * REPORT_S)
         leads = world.nodes[world.leader()].leader
         assert leads is not None
-        usable = {m.name for m in leads.planner.usable(trio.current_time())}
+        usable = {m.name for m in leads.planner.usable_machines(trio.current_time())}
         assert all(w.gone or w.name in usable for w in mutes)
 
     story(tell, count)
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -194,7 +194,7 @@
         leader = world.nodes[world.leader()].leader
         assert leader is not None
         assert sorted(j.spec.id for j in leader.cluster.jobs.values()) == ["run-000001", "run-000004"]
-        assert {"run-000001", "run-000004"} >= leader.planner.inside
+        assert {"run-000001", "run-000004"} >= leader.planner.within_guarantee
         assert world.nodes[world.leader()].view()["jobs"]["waiting_for_others"] == 2
         await done(world, [first, *waiting, other])
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -14,7 +14,7 @@
 from pepperlatch.controller.leadership import hold_seconds
 from pepperlatch.policy import draining, fleet, quota
 from pepperlatch.policy.model import Attempt, Job, Machine, Phase, Status
-from pepperlatch.policy.supply import Place, Spare, absorb, slack_s
+from pepperlatch.policy.supply import FinishingSlot, ReplicaReserve, assign_finishing_slots, slack_s
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.budget import Budget
 from pepperlatch.protocol.http.server import Request, Response, Server
@@ -232,19 +232,22 @@
 
 
 def test_renting_counts_turns_zones_and_price() -> None:
-    patient = fleet.Need(new_job(1, pieces=16, cores=4.0, loaners=True), 16, turns=4)
-    assert fleet.choose([patient], [TYPE], set(), 50) == [fleet.Offer("m8", "a", True), fleet.Offer("m8", "a", True)]
-    spread = fleet.Need(new_job(2, pieces=2, cores=2.0, apart=True), 2)
-    assert {offer.zone for offer in fleet.choose([spread], [TYPE], set(), 50)} == {"a", "b"}
+    patient = fleet.Demand(new_job(1, pieces=16, cores=4.0, loaners=True), 16, tasks_per_slot=4)
+    assert fleet.choose_offers([patient], [TYPE], set(), 50) == [
+        fleet.Offer("m8", "a", True),
+        fleet.Offer("m8", "a", True),
+    ]
+    spread = fleet.Demand(new_job(2, pieces=2, cores=2.0, apart=True), 2)
+    assert {offer.zone for offer in fleet.choose_offers([spread], [TYPE], set(), 50)} == {"a", "b"}
     blocked = {fleet.Offer("m8", zone, spot) for zone in "ab" for spot in (True, False)}
-    assert fleet.choose([fleet.Need(new_job(3), 2)], [TYPE], blocked, 50) == []
+    assert fleet.choose_offers([fleet.Demand(new_job(3), 2)], [TYPE], blocked, 50) == []
 
 
 def test_finishing_tasks_leave_room_for_what_can_wait() -> None:
     one = new_job(1, cores=2.0, pieces=9, expected_s=10.0)
-    places = [Place(machine("m"), one.spec, free_in_s) for free_in_s in (5.0, 50.0)]
-    need = fleet.Need(one, 4)
-    absorb(need, places, 26.0)
+    places = [FinishingSlot(machine("m"), one.spec, free_in_s) for free_in_s in (5.0, 50.0)]
+    need = fleet.Demand(one, 4)
+    assign_finishing_slots(need, places, 26.0)
     assert need.count == 1, "three turns of 10 s in the first place, the second comes too late"
     aims = [Objective("wait", "x", 100.0), Objective("finished", "x", 60.0), Objective("wait", "other", 1.0)]
     assert 0 < slack_s(one, aims, 20.0) < 40.0
@@ -252,14 +255,14 @@
 
 def test_room_for_replicas_is_not_for_others() -> None:
     home, one = machine("home"), spec_of(1, shape="daemon", cores=4.0, pieces=1, bundle="web")
-    spare = Spare()
-    spare.count([home], [one], 1.0)
+    reserve = ReplicaReserve()
+    reserve.recount([home], [one], 1.0)
     sweep = spec_of(2, cores=4.0)
-    assert spare.allows(sweep, home) and spare.allows(one, home)
+    assert reserve.allows(sweep, home) and reserve.allows(one, home)
     home.take(sweep)
-    spare.took(home)
-    assert not spare.allows(sweep, home) and spare.allows(one, home)
-    assert spare.needs(home) and not spare.short()
+    reserve.update_machine(home)
+    assert not reserve.allows(sweep, home) and reserve.allows(one, home)
+    assert reserve.needs_machine(home) and not reserve.is_short()
 
 
 def test_bitmaps_hold_what_is_done_within_a_value() -> None:
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -84,7 +84,7 @@
     assert rounds_of(whole) == 1
     assert rounds_of(bounded) > 3
     assert placed(bounded) == placed(whole)
-    assert [(n.job.spec.id, n.count) for n in bounded.needs] == [(n.job.spec.id, n.count) for n in whole.needs]
+    assert [(n.job.spec.id, n.count) for n in bounded.demands] == [(n.job.spec.id, n.count) for n in whole.demands]
 
 
 def test_a_round_does_no_more_than_it_may_and_what_waits_in_vain_holds_up_nobody() -> None:
@@ -92,8 +92,8 @@
     planner = planner_of([*in_vain, job(40, pieces=3, cores=1.0, urgency="low")], 10, 50.0)
     while not planner.cluster.jobs["run-000040"].live:
         planner.place_all(1.0)
-        assert planner.work <= 50.0 + 10 + PLACEMENT_WORK
-    assert len(planner.needs) == 39, "what earlier rounds of the pass found no room for is still needed"
+        assert planner.work_done <= 50.0 + 10 + PLACEMENT_WORK
+    assert len(planner.demands) == 39, "what earlier rounds of the pass found no room for is still needed"
 
 
 def test_between_two_rounds_a_newcomer_goes_first_and_what_was_cancelled_is_left_out() -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -15,7 +15,7 @@
 from pepperlatch.controller.users import Users
 from pepperlatch.policy import fleet, placement, supply
 from pepperlatch.policy.cluster import Cluster
-from pepperlatch.policy.fleet import Bin, Need, Offer
+from pepperlatch.policy.fleet import Bin, Demand, Offer
 from pepperlatch.policy.model import Job, Machine, Status
 from pepperlatch.policy.operator_settings import OperatorSettings
 from pepperlatch.policy.planner import Planner
@@ -102,12 +102,12 @@
     planner = planner_of([machine("full")], job(1, pieces=5, cores=4.0, loaners=True, expected_s=5.0))
     run_on(planner.cluster.machines["full"], Job(spec_of(9, cores=8.0, shape="daemon"), 1, 0.0, False), 0)
     planner.place_all(1.0)
-    assert not planner.inside and planner.needs
-    assert {offer.spot for offer in planner.rent(1.0)} == {True}
-    planner.blocked = {Offer("m8", zone, True): 1e9 for zone in "ab"}
-    assert planner.rent(1.0) == [], "it waits for spot machines"
+    assert not planner.within_guarantee and planner.demands
+    assert {offer.spot for offer in planner.offers_to_rent(1.0)} == {True}
+    planner.blocked_until = {Offer("m8", zone, True): 1e9 for zone in "ab"}
+    assert planner.offers_to_rent(1.0) == [], "it waits for spot machines"
     planner.place_all(240.0)
-    assert {offer.spot for offer in planner.rent(240.0)} == {False}, "it would be late"
+    assert {offer.spot for offer in planner.offers_to_rent(240.0)} == {False}, "it would be late"
 
 
 def test_room_for_replicas_is_rented_where_it_counts_only() -> None:
@@ -118,7 +118,7 @@
     board = next(iter(planner.cluster.jobs.values()))
     board.waiting.clear()
     planner.place_all(1.0)
-    chosen = planner.rent(1.0)
+    chosen = planner.offers_to_rent(1.0)
     assert chosen and {offer.type for offer in chosen} == {"m8"}
 
 
@@ -130,7 +130,7 @@
         board = planner.cluster.jobs["run-000008"]
         board.waiting.clear()
         planner.place_all(1.0)
-        assert planner.spare.short() and "run-000001" in planner.inside
+        assert planner.reserve.is_short() and "run-000001" in planner.within_guarantee
         assert len(home.attempts) == placed
 
 
@@ -142,10 +142,10 @@
         one.free_cpus = 0.0
     planner.observe_zone("a", ZoneObservation(4, 4, False), 100.0)
     planner.place_all(100.0)
-    assert {offer.zone for offer in planner.rent(100.0)} == {"b"}
+    assert {offer.zone for offer in planner.offers_to_rent(100.0)} == {"b"}
     planner.observe_zone("a", ZoneObservation(4, 0, True), 101.0)
     planner.place_all(101.0)
-    assert {offer.zone for offer in planner.rent(101.0)} == {"a"}
+    assert {offer.zone for offer in planner.offers_to_rent(101.0)} == {"a"}
 
 
 def test_idle_machines_go_although_others_wait_for_what_they_are_not() -> None:
@@ -154,12 +154,12 @@
     idle = planner.cluster.machines["idle"]
     idle.idle_since, idle.seen_at = 0.0, 100.0
     planner.place_all(100.0)
-    assert planner.needs and planner.idle(100.0) == [idle]
+    assert planner.demands and planner.machines_to_return(100.0) == [idle]
     planner.cluster.add_job(wire.convert(job(2, cores=8.0, expected_s=0.0), wire.JobSpec), 20, 100.0, set())
     idle.quarantined = True
     planner.place_all(100.0)
     idle.quarantined = False
-    assert planner.idle(100.0) == [], "it is waited for"
+    assert planner.machines_to_return(100.0) == [], "it is waited for"
 
 
 def test_a_cheap_idle_machine_is_kept_as_much_longer_as_it_is_cheaper() -> None:
@@ -167,8 +167,8 @@
     dear, cheap = machine("dear"), machine("cheap", spot=True)
     planner = planner_of([dear, cheap])
     dear.idle_since = cheap.idle_since = 0.0
-    assert planner.idle(70.0) == [dear]
-    assert planner.idle(30.0 * 1.0 / 0.3 + 1.0) == [dear, cheap]
+    assert planner.machines_to_return(70.0) == [dear]
+    assert planner.machines_to_return(30.0 * 1.0 / 0.3 + 1.0) == [dear, cheap]
 
 
 def test_in_a_crowd_what_is_late_anyway_yields_to_what_is_not() -> None:
@@ -177,14 +177,14 @@
     planner.cluster.params.objectives = [Objective("wait", "x", 8.0), Objective("wait", "x", 60.0)]
     late, later, fresh = planner.cluster.jobs.values()
     late.since, later.since, fresh.since = 0.0, 55.0, 98.0
-    assert planner.ordered(100.0) == [fresh, later, late], "also before the one within the guarantee"
-    assert planner.ordered(113.0)[0] is later, "two seconds from its next aim"
+    assert planner.placement_order(100.0) == [fresh, later, late], "also before the one within the guarantee"
+    assert planner.placement_order(113.0)[0] is later, "two seconds from its next aim"
     later.ran = True
-    assert planner.ordered(100.0) == [fresh, late, later], "what has run keeps its place behind the guaranteed"
-    assert planner.ordered(121.0)[0] is late, "twice its longest aim"
+    assert planner.placement_order(100.0) == [fresh, late, later], "what has run keeps its place behind the guaranteed"
+    assert planner.placement_order(121.0)[0] is late, "twice its longest aim"
 
 
-def drawn_needs(rng: random.Random) -> list[Need]:
+def drawn_needs(rng: random.Random) -> list[Demand]:
     """Jobs of all kinds that wait, some for little, some bound to a zone, a type or spot machines."""
     needs = []
     for n in range(rng.randint(1, 12)):
@@ -197,7 +197,7 @@
         )  # fmt: skip
         waited = rng.choice([0.0, 40.0, 200.0])
         waits = Job(spec, n, 100.0 - waited, False)
-        needs.append(Need(waits, rng.randint(0, 9), {}, rng.random() < 0.2, rng.choice([1, 3])))
+        needs.append(Demand(waits, rng.randint(0, 9), {}, rng.random() < 0.2, rng.choice([1, 3])))
     return needs
 
 
@@ -211,7 +211,7 @@
             Bin(Offer(kind[0], rng.choice(ZONES), rng.random() < 0.4), *kind[1:])
             for kind in (rng.choice(kinds) for _ in range(rng.randint(0, 25)))
         ]
-        least, alike = fleet.smallest(needs), copy.deepcopy(bins)
+        least, alike = fleet.smallest_task(needs), copy.deepcopy(bins)
         wanted = [room.would_take(needs, least) for room in copy.deepcopy(bins)]
         fleet.fill_all(bins, needs, least)
         for room, said in zip(copy.deepcopy(alike), wanted, strict=True):
@@ -225,8 +225,8 @@
                 count, _ = room.take(need)
                 if count:
                     need.count -= count
-                    need.spread[room.offer.zone] = need.spread.get(room.offer.zone, 0) + count
-        assert [(n.count, n.spread) for n in needs] == [(n.count, n.spread) for n in plain], seed
+                    need.tasks_per_zone[room.offer.zone] = need.tasks_per_zone.get(room.offer.zone, 0) + count
+        assert [(n.count, n.tasks_per_zone) for n in needs] == [(n.count, n.tasks_per_zone) for n in plain], seed
         assert [(r.cpus, r.gpus, r.memory_gb) for r in bins] == [(r.cpus, r.gpus, r.memory_gb) for r in alike]
 
 
@@ -245,15 +245,15 @@
         needs = drawn_needs(rng)
         plain = copy.deepcopy(needs)
         places = [
-            supply.Place(a.machine, a.job.spec, supply.remaining_s(a, 100.0))
-            for m in planner.usable(100.0) for a in m.attempts.values()
+            supply.FinishingSlot(a.machine, a.job.spec, supply.remaining_s(a, 100.0))
+            for m in planner.usable_machines(100.0) for a in m.attempts.values()
             if a.job.spec.kind is wire.Kind.ARRAY and a.wanted
         ]  # fmt: skip
-        places.sort(key=supply.SOONEST)
+        places.sort(key=supply.BY_FREE_TIME)
         for need in plain:
             if need.job.spec.kind is wire.Kind.ARRAY and need.count > 0:
-                supply.absorb(need, places, planner._patience_s(need.job, 100.0))
-        planner._count_on_finishing(needs, 100.0)
+                supply.assign_finishing_slots(need, places, planner._patience_s(need.job, 100.0))
+        planner._assign_finishing_slots(needs, 100.0)
         assert [n.count for n in needs] == [n.count for n in plain], seed
 
 
@@ -271,7 +271,7 @@
     for one in planner.cluster.machines.values():
         one.seen_at = one.reached_at = one.beat_at = 100.0
     planner.place_all(100.0)
-    assert planner.idle(100.0) == [idle[1]], "five places are wanted, and those where the image is"
+    assert planner.machines_to_return(100.0) == [idle[1]], "five places are wanted, and those where the image is"
 
 
 def test_seven_nodes_lose_four_and_go_on() -> None:
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -165,8 +165,8 @@
     for one in planner.cluster.machines.values():
         one.idle_since = 0.0
     planner.observe_zone("a", ZoneObservation(9, 9, False), 100.0)
-    assert [m.name for m in planner.idle(100.0)] == ["idle"]
-    assert len(planner.idle(100.0 + z.KEEP_S)) == 2
+    assert [m.name for m in planner.machines_to_return(100.0)] == ["idle"]
+    assert len(planner.machines_to_return(100.0 + z.KEEP_S)) == 2
 
 
 def test_machines_whose_turn_to_be_fenced_has_not_come_tell_of_their_zone_but_are_not_asked() -> None:
