--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -1,4 +1,8 @@
-"""One round of planning: order the jobs, place, preempt, rent, drain, return. No I/O, no clock."""
+"""The leader's planner: orders jobs, places tasks, preempts, chooses machines to rent, drain and return.
+
+It does no I/O and reads no clock: each method is given `now`, in seconds of the leader's steady clock. Decisions are
+made on the `Cluster`, which tells the leader what to send and record; machines to rent or return are results.
+"""
 
 import heapq
 import logging
@@ -25,46 +29,52 @@
 from pepperlatch.protocol.wire import RANK, JobSpec, Kind, Priority
 
 log = logging.getLogger(__name__)
-PREEMPTED_FOR = "stopped for "  # and a job: why a task had to leave
-PREEMPTING_RANK = RANK[Priority.HIGH]  # and stronger: may preempt also beyond a guarantee
+PREEMPTED_FOR = "stopped for "  # stated cause of a preemption; the id of the preempting job follows
+PREEMPTING_RANK = RANK[Priority.HIGH]  # jobs of this or a stronger rank may preempt beyond their team's guarantee
 
 
 @dataclass(slots=True)
 class Planner:
+    """The planning state of one leader's term.
+
+    A pass over all waiting jobs takes one round or several: a round ends when it has done `work_limit`, and the next
+    one goes on with the jobs that are not in `handled`. In each round the leader calls `stop_before_reclaim`,
+    `place_all`, `preempt`, and then `offers_to_rent` or, while its leadership is not proven, `explain_renting_held`.
+    The health check calls `observe_zone`, `machines_to_return` and `start_drain`.
+    """
+
     cluster: Cluster
     settings: OperatorSettings
-    blocked_until: dict[Offer, float] = field(default_factory=dict)  # refused offers, until when
-    refusal_pause_s: dict[Offer, float] = field(default_factory=dict)
-    requested: Counter[Offer] = field(default_factory=Counter)  # machines of hires on their way
+    blocked_until: dict[Offer, float] = field(default_factory=dict)  # when a refused offer may be requested again
+    refusal_pause_s: dict[Offer, float] = field(default_factory=dict)  # pause after an offer's last refusal
+    requested: Counter[Offer] = field(default_factory=Counter)  # machines in rent requests without an answer yet
     zones: ZoneTracker = field(default_factory=ZoneTracker)
-    unreachable_zones: set[str] = field(default_factory=set)  # zones where nothing is rented
-    last_drain_at: float = 0.0
+    unreachable_zones: set[str] = field(default_factory=set)  # nothing is rented in these zones
+    last_drain_at: float = 0.0  # when a drain was last considered
     drains_begun: int = 0
     drains_cancelled: int = 0  # rounds in which an underused machine could not be drained
-    last_drain_cancelled: tuple[str, str] = ("", "")  # the last of these, and why
-    replan_after: float = 0.0  # when it is looked again at what waits though nothing has changed
-    demands: list[Demand] = field(default_factory=list)
+    last_drain_cancelled: tuple[str, str] = ("", "")  # the machine of the last such round, and the reason
+    replan_after: float = 0.0  # from then on waiting jobs are planned again even if nothing has changed
+    demands: list[Demand] = field(default_factory=list)  # tasks that found no room, in placement order
     reserve: ReplicaReserve = field(default_factory=ReplicaReserve)
     within_guarantee: set[str] = field(default_factory=set)  # jobs within their team's guarantee
-    work_limit: float = math.inf  # how much a round may do before the rest is left to the next, see `pace`
-    work_done: float = 0.0  # how much this one has done
-    unfinished: bool = False  # the last round did enough before it came to all that waits: its pass goes on
-    handled: set[str] = field(default_factory=set)  # jobs that earlier rounds of an unfinished pass have dealt with
+    work_limit: float = math.inf  # work that a round may do before it leaves the rest to the next; see `pace`
+    work_done: float = 0.0  # work that the present round has done
+    unfinished: bool = False  # the last round reached its work limit before all waiting jobs: its pass goes on
+    handled: set[str] = field(default_factory=set)  # jobs dealt with by earlier rounds of an unfinished pass
     changed: bool = False  # something has changed since an unfinished pass began
     team_limits: dict[str, Reason] = field(default_factory=dict)  # teams that were at their limit in this round
-    overdue_first: list[Job] = field(
-        default_factory=list
-    )  # jobs whose turn it is whatever the order, one a team at the most
-    reserved: dict[str, Use] = field(
-        default_factory=dict
-    )  # of teams' limits, for gangs that waited long, in this round
+    overdue_first: list[Job] = field(default_factory=list)  # overdue jobs that go first, at most one of each team
+    reserved: dict[str, Use] = field(default_factory=dict)  # of each team's limit, for overdue gangs, in this round
 
     # --- placing ----------------------------------------------------------------------------------
 
     def report_max_age_s(self) -> float:
+        """How old the last report of a machine may be, in seconds, for it to get new tasks."""
         return c.FRESH_REPORTS * self.cluster.params.workers.report_s
 
     def usable_machines(self, now: float) -> list[Machine]:
+        """Machines that accept tasks now, without those that have not been accounted for since the takeover."""
         unaccounted = self.cluster.unaccounted
         return [
             m for m in self.cluster.machines.values()
@@ -72,11 +82,11 @@
         ]  # fmt: skip
 
     def placement_order(self, now: float) -> list[Job]:
-        """Within a guarantee first, then by priority, then what can still meet its next aim soonest.
+        """Waiting jobs: those within a guarantee first, then by priority, then by their next objective that can be met.
 
-        A guarantee holds against other teams. Among a team's own jobs of one priority that have not run yet,
-        what is not late goes first, on the places in the order that are the team's. What has run keeps its
-        place, or work stopped for others could take the room back.
+        A guarantee counts only against other teams. A team's own jobs of one priority that have not run yet are sorted
+        among the positions that they hold together, those that are not late first. A job that has run keeps its
+        position, or preempted work could take the room back. Overdue jobs go before all others, one of each team.
         """
         aims = self.cluster.params.objectives
         jobs = [j for j in self.cluster.jobs.values() if not j.over]
@@ -85,13 +95,13 @@
         due = {j.spec.id: (supply.next_deadline(j, aims, j.spec.id in inside, now), j.version) for j in waiting}
         order = sorted(waiting, key=lambda j: (*self._placement_key(j), *due[j.spec.id]))
         groups: dict[tuple[str, int], list[int]] = {}
-        for place, job in enumerate(order):
+        for position, job in enumerate(order):
             if not job.ran:
-                groups.setdefault((job.spec.team, job.rank), []).append(place)
-        for places in groups.values():
-            theirs = sorted((order[place] for place in places), key=lambda j: due[j.spec.id])
-            for place, job in zip(places, theirs, strict=True):
-                order[place] = job
+                groups.setdefault((job.spec.team, job.rank), []).append(position)
+        for positions in groups.values():
+            resorted = sorted((order[position] for position in positions), key=lambda j: due[j.spec.id])
+            for position, job in zip(positions, resorted, strict=True):
+                order[position] = job
         self.overdue_first = overdue_jobs.first_overdue_by_team(order, now)
         return (
             self.overdue_first + [job for job in order if job not in self.overdue_first]
@@ -100,38 +110,41 @@
         )
 
     def place_all(self, now: float) -> None:
-        """Start what can start; `needs` keeps what found no room."""
+        """Place waiting tasks until the round has done `work_limit`; `demands` then holds the tasks without room."""
         cluster = self.cluster
         cluster.count_hidden()
         rebuilding = cluster.rebuilding()
         machines = self.usable_machines(now)
         cheapest = self._cheapest_price(self.reserve.spec) if self.reserve.spec else float("inf")
-        homes = [m for m in machines if not placement.would_pin(m, cheapest)]
+        replica_machines = [m for m in machines if not placement.would_pin(m, cheapest)]
         self.reserve.recount(
-            homes, [j.spec for j in cluster.jobs.values() if not j.over], self.settings["spare_jobs"], self._start_s
+            replica_machines,
+            [j.spec for j in cluster.jobs.values() if not j.over],
+            self.settings["spare_jobs"],
+            self._start_target_s,
         )
         self.team_limits = {}
         self.reserved = {}
         self.work_done = 0.0
-        rebuilt = Reason(Why.REBUILDING, machines=len(cluster.unaccounted), among=len(cluster.machines))
+        rebuilding_reason = Reason(Why.REBUILDING, machines=len(cluster.unaccounted), among=len(cluster.machines))
         order = self.placement_order(now)
-        every, machines = machines, placement.with_room_for_smallest(machines, (j.spec for j in order))
+        all_usable, machines = machines, placement.with_room_for_smallest(machines, (j.spec for j in order))
         before, self.demands = self.demands, []
         self.changed = self.unfinished and (self.changed or cluster.dirty)
         jobs = [job for job in order if job.spec.id not in self.handled]
         for job in self.overdue_first:
             if job.spec.id in self.handled:
-                machines = self._reserve_for_overdue(job, machines, every, now)
+                machines = self._reserve_for_overdue(job, machines, all_usable, now)
         dealt_with = 0
         for job in jobs:
             if rebuilding and job.old:
-                cluster.explain(job, rebuilt, now)
+                cluster.explain(job, rebuilding_reason, now)
             elif now < job.not_before:
                 cluster.explain(job, self._pause_reason(job), now)
             elif job.spec.kind is Kind.GANG:
                 self._place_gang(job, machines, now)
                 if job in self.overdue_first:
-                    machines = self._reserve_for_overdue(job, machines, every, now)
+                    machines = self._reserve_for_overdue(job, machines, all_usable, now)
             elif not self._place_tasks(job, machines, now):
                 break
             dealt_with += 1
@@ -139,24 +152,28 @@
                 break
         self._end_round(order, jobs[:dealt_with], dealt_with == len(jobs), before)
 
-    def _end_round(self, order: list[Job], dealt_with: list[Job], whole: bool, before: list[Demand]) -> None:
-        """What is left of a pass is dealt with in the next round; until then it needs what it needed before."""
-        if self.handled or not whole:
+    def _end_round(self, order: list[Job], dealt_with: list[Job], pass_complete: bool, before: list[Demand]) -> None:
+        """Merge the round's demands into those of its pass, which `pass_complete` ends.
+
+        A job that this round did not deal with keeps the demand that it had `before`, as far as its tasks still wait.
+        """
+        if self.handled or not pass_complete:
             now_known = {demand.job.spec.id: demand for demand in self.demands}
-            gone = {job.spec.id for job in dealt_with}
-            earlier = {demand.job.spec.id: demand for demand in before if demand.job.spec.id not in gone}
+            renewed = {job.spec.id for job in dealt_with}
+            earlier = {demand.job.spec.id: demand for demand in before if demand.job.spec.id not in renewed}
             demands = (now_known.get(job.spec.id) or _remaining_demand(earlier.get(job.spec.id)) for job in order)
             self.demands = [demand for demand in demands if demand is not None]
-        self.handled = set() if whole else self.handled | {job.spec.id for job in dealt_with}
-        self.cluster.dirty = whole and self.changed
-        self.unfinished = not whole
+        self.handled = set() if pass_complete else self.handled | {job.spec.id for job in dealt_with}
+        self.cluster.dirty = pass_complete and self.changed
+        self.unfinished = not pass_complete
 
     def _reserve_for_overdue(
-        self, job: Job, machines: list[Machine], every: list[Machine], now: float
+        self, job: Job, machines: list[Machine], all_usable: list[Machine], now: float
     ) -> list[Machine]:
-        """The machines for those behind a gang whose turn it is: they leave it what comes free of its team's limit.
+        """The machines that jobs placed after an overdue gang may use; `all_usable`: before anything was reserved.
 
-        Once it fits into that, also what comes free of the machines that will hold it first; of several gangs, of one.
+        The gang's size is reserved from its team's limit. Once the gang fits into that limit, the machines that are
+        expected to hold it first are reserved too, but in one round only those of the first such gang.
         """
         if not job.waiting or not overdue_jobs.reserves_room(job, now):
             return machines
@@ -165,21 +182,22 @@
         first = next(other for other in self.overdue_first if overdue_jobs.reserves_room(other, now))
         if not fits or job is not first:
             return machines
-        self.work_done += len(every)
-        held = overdue_jobs.reserved_machines(job, every, self.cluster.params.zones)
-        return [machine for machine in machines if machine not in held]
+        self.work_done += len(all_usable)
+        reserved = overdue_jobs.reserved_machines(job, all_usable, self.cluster.params.zones)
+        return [machine for machine in machines if machine not in reserved]
 
     def _tasks_allowed(self, spec: JobSpec) -> int:
+        """How many more tasks of the job its team's limit allows, without what is reserved for overdue gangs."""
         return self.cluster.quota.room(spec, self.reserved.get(spec.team))
 
     def _pause_reason(self, job: Job) -> Reason:
-        """It failed on several machines, or a worker had no room for it after all."""
+        """Why the job pauses: it failed on several machines, or a worker had no room for it after all."""
         if job.pause_s > 0:
             return Reason(Why.PAUSING, machines=len(job.failed_on), until=job.not_before)
         return Reason(Why.REFUSED, until=job.not_before)
 
     def _place_tasks(self, job: Job, machines: list[Machine], now: float) -> bool:
-        """Whether the job was dealt with; not if the round has done enough while it still finds places."""
+        """Place the job's tasks; False if the round reached its work limit while the job still found room."""
         cluster = self.cluster
         room = self._tasks_allowed(job.spec)
         if room > 0:
@@ -202,6 +220,11 @@
         return True
 
     def _candidates(self, job: Job, machines: list[Machine], now: float) -> Candidates:
+        """The machines for the job's tasks, best first.
+
+        For its first `PIN_WAIT_S` a new service avoids expensive machines that its replicas alone would keep in use, if
+        a cheap one can be rented.
+        """
         spec, zones = job.spec, self.cluster.params.zones
         self.work_done += len(machines)
         if spec.one_zone and not job.live:
@@ -215,41 +238,40 @@
         ):
             cheapest = self._cheapest_price(spec)
             machines = [m for m in machines if not placement.would_pin(m, cheapest)]
-        return Candidates(job, machines, zones, self._room_filter(job, now), self._start_s(spec))
+        return Candidates(job, machines, zones, self._room_filter(job, now), self._start_target_s(spec))
 
     def _room_filter(self, job: Job, now: float) -> Callable[[Machine], bool]:
-        """Whether the job may use a machine's room: some is kept for replicas, and some is too dear for patient work.
+        """A test of whether the job may use a machine: its room may be kept for replicas, or be too expensive for now.
 
-        What has waited long and runs nothing begins all the same: one task, or all of a gang.
+        A job that runs nothing and has waited for `KEPT_ROOM_MOST_S` may start one task, or a whole gang, anywhere.
         """
-        spec, exempt, waits_for_cheap_room = (
-            job.spec,
-            self._exempt_from_reserve(job),
-            self._waits_for_cheap_room(job, now),
-        )
+        spec, exempt, cheap_only = job.spec, self._exempt_from_reserve(job), self._waits_for_cheap_room(job, now)
         waited_long = not job.live and now - job.idle_since > c.KEPT_ROOM_MOST_S
 
         def free(machine: Machine) -> bool:
             if waited_long and (spec.kind is Kind.GANG or not job.live):
                 return True
-            if waits_for_cheap_room and not (machine.spot or machine.kept()):
+            if cheap_only and not (machine.spot or machine.kept()):
                 return False
             return exempt or self.reserve.allows(spec, machine)
 
         return free
 
     def _exempt_from_reserve(self, job: Job) -> bool:
-        """Guaranteed work that only ordinary machines may run need not wait for replicas that nobody has asked for.
+        """Whether the job may use room kept for replicas: guaranteed work that may not run on spot machines.
 
-        While services grow, the room kept for them is always short, and such work would never find any.
+        While services grow, the reserve is always short, and such work would never find room.
         """
         return not job.spec.spot and job.spec.id in self.within_guarantee
 
-    def _start_s(self, spec: JobSpec) -> float:
+    def _start_target_s(self, spec: JobSpec) -> float:
         return supply.start_target_s(spec, self.cluster.params.objectives)
 
     def _waits_for_cheap_room(self, job: Job, now: float) -> bool:
-        """Work beyond a guarantee that has much time left waits for cheap room, and lets dear machines get empty."""
+        """Whether the job's tasks wait for spot machines or for ordinary ones that replicas keep anyway.
+
+        Tasks beyond a guarantee that have much time left do, so that the other ordinary machines become empty.
+        """
         spec = job.spec
         if (
             spec.kind is not Kind.ARRAY
@@ -266,6 +288,7 @@
         return min((t.price for t in self.cluster.types.values() if fits_type(spec, t)), default=0.0)
 
     def _cheap_machine_available(self, spec: JobSpec, now: float) -> bool:
+        """Whether a machine that a single replica may keep can be rented: no refusal blocks its offer."""
         most = self._cheapest_price(spec) * c.PIN_RATIO
         return any(
             self.blocked_until.get(Offer(t.name, zone, False), 0.0) <= now
@@ -274,12 +297,12 @@
         )  # fmt: skip
 
     def _drain_target(self, job: Job, candidates: Candidates, machines: list[Machine]) -> Machine | None:
-        """Where a drain promised the next task a place."""
+        """The machine to which a drain moves the job's next task, if it still fits there."""
         target = job.prefer.pop(job.waiting[0], None)
         return target if target is not None and target in machines and candidates.fits(target) else None
 
     def _place_gang(self, job: Job, machines: list[Machine], now: float) -> None:
-        """All tasks or none, under one attempt number."""
+        """Place all tasks of the gang under one attempt number, or none."""
         cluster, spec = self.cluster, job.spec
         if job.live:
             cluster.explain(job, Reason(Why.LEAVING, tasks=len(job.live)), now)
@@ -304,14 +327,18 @@
             cluster.explain(job, reasons.STARTING, now)
 
     def _team_limit(self, spec: JobSpec) -> Reason:
-        """The team's limit, as it stands when it first stops a job of the team in this round."""
-        held = self.team_limits.get(spec.team)
-        if held is None:
-            held = self.team_limits[spec.team] = self.cluster.quota.at_limit(spec)
-        return held
+        """The reason for a job at its team's limit, with the numbers of when the limit first applied in this round."""
+        reason = self.team_limits.get(spec.team)
+        if reason is None:
+            reason = self.team_limits[spec.team] = self.cluster.quota.at_limit(spec)
+        return reason
 
     def _record_demand(self, job: Job, count: int, now: float, free: tuple[str, int] | None = None) -> None:
-        """`rent` says in the same round what is done about it, unless it is too soon after the last time."""
+        """Record that `count` tasks found no room; with 0 the job is at its team's limit.
+
+        `offers_to_rent` states the final reason in the same round, unless it is too soon to call it again.
+        `free` is set for gangs: the zone where most tasks have room at once, and how many.
+        """
         if count <= 0:
             self.cluster.explain(job, self._team_limit(job.spec), now)
             return
@@ -324,22 +351,25 @@
     # --- preempting -------------------------------------------------------------------------------
 
     def preempt(self, now: float) -> None:
-        """Make room for what may preempt, stopping the tasks that lose least."""
+        """Make room for jobs that may preempt: stop the tasks that lose least work, until `PREEMPT_MOST` are stopped.
+
+        Jobs with unplaced tasks may preempt within their team's guarantee, or if their priority is high or stronger.
+        """
         left = c.PREEMPT_MOST
         inside = self.within_guarantee
         machines = self.usable_machines(now) if self.demands else []
         running = (j for j in self.cluster.jobs.values() if j.live and j.spec.kind is Kind.ARRAY)
         last = max(map(self._placement_key, running), default=(False, 0))
-        stopping: bool | None = None  # looked up only if somebody may be stopped
+        under_way: bool | None = None  # looked up only if some task may be stopped
         for demand in self.demands:
             job = demand.job
             if left <= 0:
                 return
             if (job.rank > PREEMPTING_RANK and job.spec.id not in inside) or now < job.preempt_after:
                 continue
-            if self._placement_key(job) >= last:  # nothing runs that would be placed later
+            if self._placement_key(job) >= last:  # no running array would be placed after this job
                 continue
-            if stopping is None and (stopping := self._preemption_under_way()):
+            if under_way is None and (under_way := self._preemption_under_way()):
                 return
             job.preempt_after = now + c.PREEMPT_PAUSE_S
             for victims in self._choose_victims(demand, machines, left, now):
@@ -348,6 +378,7 @@
                 left -= len(victims)
 
     def _choose_victims(self, demand: Demand, machines: list[Machine], left: int, now: float) -> list[list[Attempt]]:
+        """The attempts to stop: a list for each of at most `left` machines, or one of at most `left` for a whole gang."""
         job = demand.job
         if job.spec.kind is not Kind.GANG:
             return self._cheapest_victims(job, machines, min(demand.count, left), now)
@@ -360,17 +391,17 @@
         return [victims] if len(victims) <= left else []
 
     def _preemption_under_way(self) -> bool:
-        """Whether somebody still leaves for another; who is cancelled or drained makes no room that is spoken for."""
+        """Whether a preempted task has not left yet; the room of cancelled and drained ones is meant for no job."""
         return any(
             a.stopped_for.startswith(PREEMPTED_FOR) for m in self.cluster.machines.values() for a in m.attempts.values()
         )
 
     def _placement_key(self, job: Job) -> tuple[bool, int]:
-        """Jobs are placed in this order, by age within it."""
+        """Sort key of placement; jobs with the same key are placed by their next deadline, then by age."""
         return (job.spec.id not in self.within_guarantee, job.rank)
 
     def _may_preempt(self, victim: Attempt, job: Job, inside: set[str]) -> bool:
-        """Only what would also be placed after the job: else it takes the room back, again and again."""
+        """Whether the job may stop the victim; a victim placed earlier would take the room back, again and again."""
         other, guaranteed = victim.job.spec, job.spec.id in inside
         if not victim.wanted or victim.phase is not Phase.THERE or other.kind is not Kind.ARRAY:
             return False
@@ -381,7 +412,7 @@
         return guaranteed and other.team != job.spec.team and self.cluster.quota.over_guarantee(other.team)
 
     def _cheapest_victims(self, job: Job, machines: list[Machine], count: int, now: float) -> list[list[Attempt]]:
-        """Whom to stop for so many of the job's tasks: the cheapest, one task's room a machine."""
+        """The attempts to stop for `count` of the job's tasks: those that lose least work, one slot on each machine."""
         found = []
         for n, machine in enumerate(self._allowed_machines(job, machines)):
             victims = self._victims_on(job, machine, now)
@@ -390,7 +421,7 @@
         return [victims for _, _, victims in heapq.nsmallest(count, found)]
 
     def _allowed_machines(self, job: Job, machines: list[Machine]) -> list[Machine]:
-        """Where its tasks may be, and no room is kept for replicas."""
+        """Machines where the job's tasks may run and whose room is not kept for replicas."""
         zones = set(placement.allowed_zones(job, self.cluster.params.zones))
         return [
             m for m in machines
@@ -402,23 +433,24 @@
         return [a for a in machine.attempts.values() if self._may_preempt(a, job, self.within_guarantee)]
 
     def _victims_on(self, job: Job, machine: Machine, now: float) -> list[Attempt]:
-        """Those on the machine that would have to go, least lost work first; empty if that is not enough."""
+        """The attempts on the machine to stop for one task, least lost work first; empty if no slot can be made."""
         spec = job.spec
-        may = self._preemptable(job, machine)
+        candidates = self._preemptable(job, machine)
         free = [machine.free_cpus, machine.free_gpus, machine.free_gb]
-        demand = (spec.cpus, spec.gpus, spec.memory_gb)
+        needed = (spec.cpus, spec.gpus, spec.memory_gb)
         victims: list[Attempt] = []
-        for victim in sorted(may, key=lambda a: lost_work(a, now)):
-            if all(f >= n - EPS for f, n in zip(free, demand, strict=True)):
+        for victim in sorted(candidates, key=lambda a: lost_work(a, now)):
+            if all(f >= n - EPS for f, n in zip(free, needed, strict=True)):
                 return victims
             victims.append(victim)
             gains = (victim.job.spec.cpus, victim.job.spec.gpus, victim.job.spec.memory_gb)
             free = [f + g for f, g in zip(free, gains, strict=True)]
-        return victims if all(f >= n - EPS for f, n in zip(free, demand, strict=True)) else []
+        return victims if all(f >= n - EPS for f, n in zip(free, needed, strict=True)) else []
 
     # --- renting ----------------------------------------------------------------------------------
 
     def booting_bins(self, now: float) -> list[Bin]:
+        """The empty room of machines that are booting or requested."""
         bins = [
             fleet.empty_bin(Offer(m.type.name, m.zone, m.spot), m.type)
             for m in self.cluster.machines.values()
@@ -429,6 +461,7 @@
         return bins
 
     def _expected_up(self, machine: Machine, now: float) -> bool:
+        """Whether the machine is not up yet and can be counted on to come up soon."""
         if machine.status is Status.JOINING:
             return True
         return (
@@ -439,16 +472,20 @@
         )
 
     def offers_to_rent(self, now: float) -> list[Offer]:
-        """What to ask the cloud for, after counting on what is already booting."""
+        """Machines to request from the cloud, one offer for each, at most `HIRE_COUNT_MOST`.
+
+        Demands are first assigned to booting machines and to the slots of tasks that finish in time. The reason why its
+        tasks wait is stated for each job. The leader calls this only while its leadership is proven.
+        """
         demands = [
             Demand(
-                n.job,
-                n.count,
-                dict(n.tasks_per_zone),
-                self._waits_for_cheap_room(n.job, now),
-                self._tasks_per_slot(n.job, now),
+                d.job,
+                d.count,
+                dict(d.tasks_per_zone),
+                self._waits_for_cheap_room(d.job, now),
+                self._tasks_per_slot(d.job, now),
             )
-            for n in self.demands
+            for d in self.demands
         ]
         wanted = len(demands)
         bins = self.booting_bins(now)
@@ -466,7 +503,7 @@
             for spot in (False, True)
         }
         chosen = fleet.choose_offers(demands, list(self.cluster.types.values()), blocked, c.HIRE_COUNT_MOST)
-        short = shortage.ShortageExplainer(
+        explainer = shortage.ShortageExplainer(
             self.cluster.types,
             self.blocked_until,
             set(self.requested),
@@ -478,7 +515,7 @@
         for demand, booted, finished, left in zip(
             self.demands, after_boot, after_finish, demands[:wanted], strict=True
         ):
-            reason = short.reason(left, demand.count, booted, finished)
+            reason = explainer.reason(left, demand.count, booted, finished)
             if demand.free_together is not None:
                 zone, free = demand.free_together
                 reason = msgspec.structs.replace(reason, free=free, zone=zone, gang=demand.job.spec.tasks)
@@ -486,64 +523,65 @@
         return chosen
 
     def explain_renting_held(self, now: float) -> None:
-        """Nothing may be rented now, so nobody is told of machines that will come."""
+        """Called instead of `offers_to_rent` while nothing may be rented: states that as the reason of all demands."""
         for demand in self.demands:
             spec = demand.job.spec
             self.cluster.explain(demand.job, Reason(Why.HELD, tasks=demand.count, each=reasons.each(spec)), now)
 
     def _first_boot_at(self, now: float) -> float | None:
-        """About when the first of the machines that are booting will be up."""
+        """When, about, the first of the booting machines will be up; None if none boots."""
         booting = [
             m for m in self.cluster.machines.values() if m.status is Status.BOOTING and self._expected_up(m, now)
         ]
         return min((max(now, m.born + m.type.boot_s) for m in booting), default=None)
 
     def _reserve_demand(self, now: float) -> list[Demand]:
-        """Room for replicas that is neither there nor booting; only on machines that a replica would not pin."""
+        """Replica slots missing from the reserve, neither free nor booting; only on types that a replica may keep."""
         if self.reserve.spec is None or self.cluster.rebuilding():
             return []
         cheapest = self._cheapest_price(self.reserve.spec)
-        homes = [t.name for t in self.cluster.types.values() if t.price <= c.PIN_RATIO * cheapest]
-        coming = sum(
+        type_names = [t.name for t in self.cluster.types.values() if t.price <= c.PIN_RATIO * cheapest]
+        booting = sum(
             room.slots(self.reserve.spec)
             for room in self.booting_bins(now)
-            if not room.offer.spot and room.offer.type in homes
+            if not room.offer.spot and room.offer.type in type_names
         )
-        short = self.reserve.wanted_slots - self.reserve.free_slots() - coming
-        spec = msgspec.structs.replace(self.reserve.spec, types=homes)
+        short = self.reserve.wanted_slots - self.reserve.free_slots() - booting
+        spec = msgspec.structs.replace(self.reserve.spec, types=type_names)
         return [Demand(Job(spec, 0, now, False), short)] if short > 0 else []
 
     def _assign_finishing_slots(self, demands: list[Demand], now: float) -> None:
-        """What running tasks will free soon enough needs no new machine.
+        """Reduce the demands by the slots that running tasks will free soon enough.
 
-        Thousands run, so they are looked at only if somebody waits for places, and kept only if that is soon enough.
+        Thousands of tasks run, so they are looked at only if an array waits, and kept only if they finish in time.
         """
-        waiting = [(n, self._patience_s(n.job, now)) for n in demands if n.job.spec.kind is Kind.ARRAY and n.count > 0]
+        waiting = [(d, self._patience_s(d.job, now)) for d in demands if d.job.spec.kind is Kind.ARRAY and d.count > 0]
         if not waiting:
             return
         longest = max(patience_s for _, patience_s in waiting)
-        places = [
+        slots = [
             supply.FinishingSlot(a.machine, a.job.spec, free_in_s)
             for m in self.usable_machines(now) for a in m.attempts.values()
             if a.job.spec.kind is Kind.ARRAY and a.wanted and (free_in_s := supply.remaining_s(a, now)) <= longest
         ]  # fmt: skip
-        places.sort(key=supply.BY_FREE_TIME)
+        slots.sort(key=supply.BY_FREE_TIME)
         for demand, patience_s in waiting:
-            supply.assign_finishing_slots(demand, places, patience_s)
+            supply.assign_finishing_slots(demand, slots, patience_s)
 
     def _patience_s(self, job: Job, now: float) -> float:
-        """How long the job's tasks may wait for places: at least as long as a new machine would take."""
+        """How long, in seconds, the job's tasks may wait for slots: at least as long as a new machine would take."""
         boot_s = min((kind.boot_s for kind in self.cluster.types.values()), default=0.0)
         return max(boot_s, supply.slack_s(job, self.cluster.params.objectives, now) - boot_s)
 
     def _tasks_per_slot(self, job: Job, now: float) -> int:
+        """How many tasks of the job one slot can run one after the other before the job is late."""
         if job.spec.kind is not Kind.ARRAY or job.spec.estimate_s <= 0:
             return 1
         boot_s = max((kind.boot_s for kind in self.cluster.types.values()), default=0.0)
         return 1 + max(0, int((self._patience_s(job, now) - boot_s) // (job.spec.estimate_s * c.ESTIMATE_CAUTION)))
 
     def observe_zone(self, name: str, observation: ZoneObservation, now: float) -> None:
-        """Take in what is seen of a zone; nothing is rented where it would cost and never report."""
+        """Take in an observation of a zone; nothing is rented where a machine would cost and could not report."""
         changed = self.zones.observe(name, observation, now)
         self.unreachable_zones = self.zones.unreachable(now)
         if changed is not None:
@@ -552,32 +590,36 @@
             self.cluster.listener.noted("dark", said, now)
 
     def offer_refused(self, offer: Offer, now: float) -> None:
+        """The cloud has no capacity: the offer is blocked for a pause that doubles with each refusal, up to a limit."""
         pause = min(c.NO_CAPACITY_PAUSE_MOST_S, max(c.NO_CAPACITY_PAUSE_S, self.refusal_pause_s.get(offer, 0.0) * 2))
         self.refusal_pause_s[offer] = pause
         self.blocked_until[offer] = now + pause
 
     def offer_granted(self, offer: Offer) -> None:
-        """There is some, or will be: we gave one back."""
+        """The cloud has capacity, or will have it because a machine of this offer is returned: unblock the offer."""
         self.refusal_pause_s.pop(offer, None)
         self.blocked_until.pop(offer, None)
 
     # --- returning --------------------------------------------------------------------------------
 
     def machines_to_return(self, now: float) -> list[Machine]:
-        """Machines without tasks that cost more than they may save."""
+        """Idle machines that no demand and no reserve needs any more, and those without tasks that get no new ones.
+
+        The caller returns them to the cloud. Machines with the fewest images that are slow to fetch are judged first.
+        """
         idle = [m for m in self.cluster.machines.values() if not m.attempts and self._may_return(m, now)]
-        out = []
+        returned = []
         for machine in sorted(idle, key=self.reserve.slow_image_count):
             unusable = _takes_no_tasks(machine)
             if not unusable and self.reserve.needs_machine(machine):
                 continue
             if unusable or machine.draining is not None or not self._is_needed(machine, now):
                 self.reserve.remove_machine(machine)
-                out.append(machine)
-        return out
+                returned.append(machine)
+        return returned
 
     def _may_return(self, machine: Machine, now: float) -> bool:
-        """Up, and of no use by itself: what depends on the others is looked at for these few."""
+        """Whether the machine by itself may go: it is up and idle for long, draining or unusable, in no zone kept."""
         if machine.status is not Status.UP or machine.idle_since is None:
             return False
         if not (_takes_no_tasks(machine) or machine.draining is not None or self._idle_long(machine, now)):
@@ -585,7 +627,10 @@
         return not self.zones.keeps_machines(machine.zone, now)
 
     def _idle_long(self, machine: Machine, now: float) -> bool:
-        """A spot machine is kept as much longer as it is cheaper: for the same money it may save a boot."""
+        """Whether it has been idle for `idle_s` and its least charge is used up.
+
+        A spot machine is kept longer by as much as it is cheaper: for the same money it may save a boot.
+        """
         since = machine.idle_since if machine.idle_since is not None else now
         idle_s = self.settings["idle_s"] * machine.type.price / max(machine.price(), EPS)
         return now - since >= idle_s and now - machine.born >= c.MIN_CHARGE_S - c.CHARGE_SLACK_S
@@ -593,6 +638,7 @@
     # --- draining ---------------------------------------------------------------------------------
 
     def start_drain(self, now: float) -> None:
+        """Begin to drain at most one underused machine, every `drain_every_s`: its tasks are stopped and move."""
         if now - self.last_drain_at < self.settings["drain_every_s"]:
             return
         self.last_drain_at = now
@@ -618,7 +664,7 @@
             self.cluster.stop(attempt, attempt.job.spec.save_s, "its machine is drained")
 
     def _report_drain_cancelled(self, machines: list[Machine], now: float) -> None:
-        """Counted each round; told of the least used machine, and again only if it is another or for another reason."""
+        """Count the round, and report why the least used machine stays, unless that was reported last."""
         settings = self.settings
         low = draining.underused(machines, settings["drain_threshold"])
         self.drains_cancelled += bool(low)
@@ -632,15 +678,15 @@
             self.cluster.listener.machine(low[0], "drain cancelled", why, now)
 
     def _is_needed(self, machine: Machine, now: float) -> bool:
-        """Whether a waiting task would go there; thrifty ones wait for cheaper room."""
+        """Whether a waiting task would be placed there; tasks that wait for cheap room go to spot machines only."""
         return any(
-            machine.has_room(n.job.spec) and allowed_on(n.job.spec, machine.type.name, machine.zone, machine.spot)
-            and (machine.spot or not self._waits_for_cheap_room(n.job, now))
-            for n in self.demands
+            machine.has_room(d.job.spec) and allowed_on(d.job.spec, machine.type.name, machine.zone, machine.spot)
+            and (machine.spot or not self._waits_for_cheap_room(d.job, now))
+            for d in self.demands
         )  # fmt: skip
 
     def stop_before_reclaim(self, now: float) -> None:
-        """A spot machine about to be taken is drained; what will finish in time is left alone."""
+        """Stop the tasks of spot machines that the cloud is about to take back, except those that finish in time."""
         for machine in self.cluster.machines.values():
             if machine.notice_at is None:
                 continue
@@ -649,6 +695,7 @@
                     self.cluster.stop(attempt, attempt.job.spec.save_s, "the cloud takes its machine")
 
     def _finishes_by(self, attempt: Attempt, at: float, now: float) -> bool:
+        """Whether the task will end before then by its estimate; False without an estimate."""
         if attempt.job.spec.estimate_s <= 0:
             return False
         began = attempt.running_at if attempt.running_at is not None else now
@@ -656,12 +703,12 @@
 
 
 def _remaining_demand(demand: Demand | None) -> Demand | None:
-    """What is left of a need of an earlier round; tasks may have been placed or ended since."""
+    """What is left of a demand of an earlier round; tasks may have been placed or have ended since."""
     if demand is None or demand.job.over or not demand.job.waiting:
         return None
     return replace(demand, count=min(demand.count, len(demand.job.waiting)))
 
 
 def _takes_no_tasks(machine: Machine) -> bool:
-    """It takes no tasks any more, whatever waits."""
+    """Whether the machine gets no new tasks, whatever waits: it is quarantined, or the cloud takes it back."""
     return machine.quarantined or machine.notice_at is not None
