--- a/pepperlatch/policy/draining.py
+++ b/pepperlatch/policy/draining.py
@@ -1,6 +1,6 @@
-"""The design's drain: the least-used machine is emptied whole onto busy ones, or not at all.
+"""Chooses an underused machine to drain: all of its tasks move to busy machines, or none does.
 
-A pure function of what the leader knows; see docs/design.md for what was kept of the paper.
+Pure functions of what the leader knows; docs/design.md says what was kept of the paper that the design follows.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,23 +13,29 @@
 
 @dataclass(slots=True)
 class Drain:
+    """A machine to drain, and for each of its tasks the machine that it moves to."""
+
     machine: Machine
     moves: list[tuple[Attempt, Machine]]
 
 
 def underused(machines: Iterable[Machine], threshold: float) -> list[Machine]:
-    """Busy machines below the threshold, least-used first."""
+    """Machines with tasks whose share in use is below the threshold, least used first."""
     low = [m for m in machines if m.attempts and m.used_share() < threshold]
     return sorted(low, key=lambda m: (m.used_share(), m.name))
 
 
 def movable(machine: Machine, now: float, age_s: float, lost_s: float) -> bool:
-    """Its tasks all run, are young, lose little and are no gang's; a replica moves only while another one runs."""
+    """Whether all tasks of the machine may be moved, see `reason_to_stay`."""
     return not any(reason_to_stay(attempt, now, age_s, lost_s) for attempt in machine.attempts.values())
 
 
 def reason_to_stay(attempt: Attempt, now: float, age_s: float, lost_s: float) -> str:
-    """Why a task is not moved; empty if it may be."""
+    """Why a task may not be moved; empty if it may be.
+
+    It must run, for less than `age_s` seconds, lose at most `lost_s` seconds of work and belong to no gang. A replica
+    moves only while another one of its service runs.
+    """
     if attempt.phase is not Phase.THERE or not attempt.wanted or attempt.state is not TaskState.RUNNING:
         return "is starting or ending"
     if attempt.running_at is None or now - attempt.running_at >= age_s:
@@ -42,7 +48,7 @@
 
 
 def unsaved_s(attempt: Attempt, now: float) -> float:
-    """Run time that stopping the task throws away; a replica loses none."""
+    """Seconds of run time that are lost if the task is stopped; a replica loses none."""
     spec = attempt.job.spec
     if attempt.running_at is None or attempt.state is not TaskState.RUNNING or spec.kind is Kind.SERVICE:
         return 0.0
@@ -50,7 +56,7 @@
 
 
 def lost_work(attempt: Attempt, now: float) -> float:
-    """CPU (and GPU) seconds that stopping the task throws away."""
+    """Seconds of CPUs and GPUs that are lost if the task is stopped."""
     return unsaved_s(attempt, now) * (attempt.job.spec.cpus + attempt.job.spec.gpus)
 
 
@@ -59,7 +65,7 @@
 
 
 def destinations(machine: Machine, busy: list[Machine]) -> list[tuple[Attempt, Machine]] | None:
-    """For every task the fullest busy machine that fits, in its zone first; None if one has none."""
+    """For each task the fullest busy machine that it fits, preferably in its zone; None if any task fits nowhere."""
     room = {m: [m.free_cpus, m.free_gpus, m.free_gb] for m in busy if m is not machine}
     moves: list[tuple[Attempt, Machine]] = []
     for attempt in sorted(machine.attempts.values(), key=lambda a: -a.job.spec.cpus):
@@ -80,7 +86,7 @@
         m for m, free in room.items()
         if all(f >= n - EPS for f, n in zip(free, needs, strict=True)) and allowed_on(spec, m.type.name, m.zone, m.spot)
     ]  # fmt: skip
-    if spec.kind is Kind.SERVICE:  # it would be away while the image is fetched
+    if spec.kind is Kind.SERVICE:  # the replica would be missing while the image is fetched
         fitting = [m for m in fitting if m.holds_image(spec)]
     near = [m for m in fitting if m.zone == source.zone]
     far = [] if spec.kind is Kind.SERVICE or spec.one_zone else [m for m in fitting if _zone_allowed(attempt, m.zone)]
@@ -88,8 +94,8 @@
 
 
 def _zone_allowed(attempt: Attempt, zone: str) -> bool:
-    there = sum(1 for a in attempt.job.live.values() if a.machine.zone == zone and a is not attempt)
-    return there < zone_task_limit(attempt.job)
+    in_zone = sum(1 for a in attempt.job.live.values() if a.machine.zone == zone and a is not attempt)
+    return in_zone < zone_task_limit(attempt.job)
 
 
 def choose_drain(
@@ -100,7 +106,11 @@
     now: float,
     needed: Callable[[Machine], bool],
 ) -> Drain | None:
-    """At most one drain a round: the first underused machine that nobody waits for and that empties whole."""
+    """The least used underused machine that can be emptied and that no waiting task needs; None if there is none.
+
+    `threshold` is a share of the machine; `age_s` and `lost_s` are in seconds, see `reason_to_stay`. `needed` tells
+    whether a waiting task would be placed on a machine.
+    """
     busy = [m for m in machines if m.attempts]
     for machine in underused(machines, threshold):
         if needed(machine) or not movable(machine, now, age_s, lost_s):
@@ -115,7 +125,7 @@
     machine: Machine, machines: list[Machine], age_s: float, lost_s: float, now: float,
     needed: Callable[[Machine], bool],
 ) -> str:  # fmt: skip
-    """Why an underused machine is not drained."""
+    """Why an underused machine is not drained; empty if it can be."""
     if needed(machine):
         return "somebody waits who would go there"
     for attempt in machine.attempts.values():
--- a/pepperlatch/policy/fleet.py
+++ b/pepperlatch/policy/fleet.py
@@ -1,4 +1,4 @@
-"""Which machines to rent for waiting tasks, and which idle ones to return. No I/O, no clock."""
+"""Chooses which machines to rent for waiting tasks, by packing the tasks into bins. No I/O, no clock."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -12,6 +12,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
+    """What the cloud rents out: a machine type in a zone, as a spot or an ordinary machine."""
+
     type: str
     zone: str
     spot: bool
@@ -19,19 +21,19 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Tasks of one job that have no place."""
+    """Tasks of one job that found no room; `count` shrinks as they are assigned to machines."""
 
     job: Job
     count: int
     tasks_per_zone: dict[str, int] = field(default_factory=dict)  # tasks per zone, placed or planned
-    spot_only: bool = False  # not worth a dearer machine yet
-    tasks_per_slot: int = 1  # tasks that one place can run one after the other before the job is late
-    free_together: tuple[str, int] | None = None  # of a gang: where most of its places are free together, and how many
+    spot_only: bool = False  # the job waits for spot machines for now
+    tasks_per_slot: int = 1  # tasks that one slot can run one after the other before the job is late
+    free_together: tuple[str, int] | None = None  # for gangs: the zone with most free slots at once, and how many
 
 
 @dataclass(slots=True, eq=False)
 class Bin:
-    """Room of a machine that is booting, or that might be rented."""
+    """The room left on a machine that is booting or that might be rented."""
 
     offer: Offer
     cpus: float
@@ -39,16 +41,20 @@
     memory_gb: float
 
     def slots(self, spec: JobSpec) -> int:
+        """How many of the tasks fit."""
         pairs = ((spec.cpus, self.cpus), (spec.gpus, self.gpus), (spec.memory_gb, self.memory_gb))
         return max(0, min((int((free + EPS) // need) for need, free in pairs if need > 0), default=spec.tasks))
 
     def is_full(self, least: Size) -> bool:
-        """Whether not even the smallest task fits: on a machine whose cards are taken CPUs may be left for ever."""
+        """Whether not even a task of size `least` fits; a machine whose GPUs are taken may have CPUs left for ever."""
         cpus, gpus, memory_gb = least
         return self.cpus < cpus - EPS or self.gpus < gpus - EPS or self.memory_gb < memory_gb - EPS
 
     def take(self, demand: Demand) -> tuple[int, int]:
-        """Use room for as many of the needed tasks as possible: their count, and how many at once."""
+        """Use room for as many tasks of the demand as possible; returns their number and how many run at once.
+
+        The demand itself is not changed.
+        """
         spec = demand.job.spec
         if (
             demand.count <= 0
@@ -59,14 +65,14 @@
         count = min(demand.count, self.slots(spec) * demand.tasks_per_slot, zone_capacity(demand, self.offer.zone))
         if count <= 0:
             return 0, 0
-        places = -(-count // demand.tasks_per_slot)
-        self.cpus -= places * spec.cpus
-        self.gpus -= places * spec.gpus
-        self.memory_gb -= places * spec.memory_gb
-        return count, places
+        slots = -(-count // demand.tasks_per_slot)
+        self.cpus -= slots * spec.cpus
+        self.gpus -= slots * spec.gpus
+        self.memory_gb -= slots * spec.memory_gb
+        return count, slots
 
     def fill(self, demands: Iterable[Demand], least: Size) -> None:
-        """Put as many needed tasks as possible here; none is smaller than `least`."""
+        """Assign as many tasks of the demands as possible to this bin; none is smaller than `least`."""
         for demand in self._fitting(demands, least):
             count, _ = self.take(demand)
             if count:
@@ -74,18 +80,18 @@
                 demand.tasks_per_zone[self.offer.zone] = demand.tasks_per_zone.get(self.offer.zone, 0) + count
 
     def would_take(self, demands: Iterable[Demand], least: Size) -> float:
-        """The CPUs (and GPUs) that `fill` would put to use; uses up this room only."""
+        """The number of CPUs and GPUs that `fill` would put to use. The bin is used up, the demands are unchanged."""
         taken = 0.0
         for demand in self._fitting(demands, least):
-            _, places = self.take(demand)
-            taken += places * (demand.job.spec.cpus + demand.job.spec.gpus)
+            _, slots = self.take(demand)
+            taken += slots * (demand.job.spec.cpus + demand.job.spec.gpus)
         return taken
 
     def _fitting(self, demands: Iterable[Demand], least: Size) -> Iterator[Demand]:
-        """Those that a task of fits here by size, as the room stands when it is their turn.
+        """The demands of which a task fits by size, given the room left when each is reached.
 
-        Hundreds of machines boot while hundreds of jobs wait, and most pairs do not fit: half of a leader's time went
-        into finding that out by `take` (the lab's days).
+        Hundreds of machines boot while hundreds of jobs wait, and most pairs do not fit: finding that out by `take`
+        took half of a leader's time.
         """
         if self.is_full(least):
             return
@@ -105,7 +111,10 @@
 
 
 def fill_all(bins: Iterable[Bin], demands: list[Demand], least: Size) -> None:
-    """Put needed tasks into each in turn. Who took nothing tells for all that are alike: needs only shrink."""
+    """Assign the demands to each bin in turn.
+
+    Bins like one that took nothing are skipped: demands only shrink.
+    """
     unwanted: set[tuple[Offer, Size]] = set()
     for room in bins:
         size = (room.cpus, room.gpus, room.memory_gb)
@@ -116,6 +125,7 @@
 
 
 def zone_capacity(demand: Demand, zone: str) -> int:
+    """How many more tasks of the demand the zone may hold, by the job's rules on zones."""
     spec = demand.job.spec
     if spec.one_zone and demand.tasks_per_zone and zone not in demand.tasks_per_zone:
         return 0
@@ -123,37 +133,43 @@
 
 
 def empty_bin(offer: Offer, kind: MachineType) -> Bin:
+    """The bin of a machine of this offer on which nothing runs."""
     return Bin(offer, kind.cpus, kind.gpus, kind.memory_gb)
 
 
 def price_of(offer: Offer, kind: MachineType) -> float:
+    """The present price of the offer's machine."""
     return kind.spot_price if offer.spot else kind.price
 
 
 def available_offers(types: Iterable[MachineType], blocked: set[Offer]) -> list[tuple[Offer, MachineType]]:
-    every = [(Offer(t.name, zone, spot), t) for t in types for zone in t.zones for spot in (False, True)]
-    return [(offer, kind) for offer, kind in every if offer not in blocked]
+    """Every offer of these machine types that is not blocked, each with its type."""
+    offers = [(Offer(t.name, zone, spot), t) for t in types for zone in t.zones for spot in (False, True)]
+    return [(offer, kind) for offer, kind in offers if offer not in blocked]
 
 
 def choose_offers(demands: list[Demand], types: list[MachineType], blocked: set[Offer], most: int) -> list[Offer]:
-    """The cheapest machines, by price for what they would be used, until every need has a place."""
+    """The machines to rent until every demand is assigned, at most `most`: the cheapest for each CPU or GPU put to use.
+
+    The demands' counts shrink by what is assigned. A demand that no available offer fits is left over.
+    """
     chosen: list[Offer] = []
     open_offers = available_offers(types, blocked)
     least = smallest_task(demands)
-    urgent = any(n.job.spec.kind is Kind.SERVICE or n.job.due_at is not None for n in demands if n.count > 0)
+    urgent = any(d.job.spec.kind is Kind.SERVICE or d.job.due_at is not None for d in demands if d.count > 0)
     for demand in demands:
         while demand.count > 0 and len(chosen) < most:
             candidates = _candidates(demand, open_offers)
             if not candidates:
                 break
-            open_demands = [n for n in demands if n.count > 0]
+            open_demands = [d for d in demands if d.count > 0]
             offer, kind = min(candidates, key=lambda pair: _score(pair[0], pair[1], open_demands, urgent, least))
             chosen += [offer] * _fill(offer, kind, demand, open_demands, most - len(chosen), least)
     return chosen
 
 
 def smallest_task(demands: Iterable[Demand]) -> Size:
-    """In each resource the least that any of the tasks takes."""
+    """The least that any of the tasks needs, for each resource."""
     specs = [demand.job.spec for demand in demands]
     return (
         min((s.cpus for s in specs), default=0.0), min((s.gpus for s in specs), default=0.0),
@@ -162,12 +178,17 @@
 
 
 def _fill(offer: Offer, kind: MachineType, demand: Demand, demands: list[Demand], most: int, least: Size) -> int:
-    """Put needs into machines of the offer: at once as many as the first need fills; how many machines."""
+    """Assign the demands to machines of the offer, as many as the first demand fills; returns their number."""
     first = empty_bin(offer, kind)
-    at_once = first.slots(demand.job.spec) * demand.tasks_per_slot
+    per_machine = first.slots(demand.job.spec) * demand.tasks_per_slot
     first.fill([demand, *demands], least)
     count = 1
-    while count < most and at_once > 0 and demand.count >= at_once and zone_capacity(demand, offer.zone) >= at_once:
+    while (
+        count < most
+        and per_machine > 0
+        and demand.count >= per_machine
+        and zone_capacity(demand, offer.zone) >= per_machine
+    ):
         empty_bin(offer, kind).fill([demand, *demands], least)
         count += 1
     return count
@@ -183,6 +204,6 @@
 
 
 def _score(offer: Offer, kind: MachineType, demands: list[Demand], urgent: bool, least: Size) -> float:
-    """Price per CPU put to use, a little more for types that boot slowly."""
+    """Price for each CPU or GPU put to use; if something is urgent, higher for types that boot slowly."""
     taken = empty_bin(offer, kind).would_take(demands, least)
     return price_of(offer, kind) / max(taken, EPS) * (1 + (kind.boot_s / c.BOOT_WORTH_S if urgent else 0))
--- a/pepperlatch/policy/gangs.py
+++ b/pepperlatch/policy/gangs.py
@@ -1,4 +1,4 @@
-"""Gangs: all tasks or none, so room for one is found whole or not at all. No I/O, no clock."""
+"""Chooses the tasks to preempt for a gang, which needs room for all of its tasks or none. No I/O, no clock."""
 
 import heapq
 from collections.abc import Callable, Iterable
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Slot:
-    """Room for one more task on a machine, once these have left it; `cost` in CPU (and GPU) seconds."""
+    """Room for one more task on a machine once the victims have left; `cost` is in seconds of CPUs and GPUs."""
 
     cost: float
     machine: Machine
@@ -19,27 +19,29 @@
 
 
 def slots(job: Job, machine: Machine, may_stop: Iterable[Attempt], now: float) -> list[Slot]:
-    """For one task after the other, cheapest first: what is free, then what those who lose least would leave.
+    """The machine's slots for the job's tasks, cheapest first: free ones, then those of tasks that lose least work.
 
-    An image that is not there costs what its cards do not do while it is fetched. A place costs no less than the one
-    before it on its machine, whose victims it counts on.
+    A slot where the image must be fetched costs the CPU and GPU time that is idle meanwhile. A slot costs no less than
+    the one before it on its machine, since it counts on that one's victims leaving too.
     """
     spec = job.spec
     fetch_cost = 0.0 if machine.holds_image(spec) else fetch_s(machine, spec) * (spec.cpus + spec.gpus)
     found = [Slot(fetch_cost, machine, []) for _ in range(min(spec.tasks, machine_slots(job, machine)))]
     free = [machine.free_cpus, machine.free_gpus, machine.free_gb]
-    need = (spec.cpus, spec.gpus, spec.memory_gb)
+    needed = (spec.cpus, spec.gpus, spec.memory_gb)
     for _ in found:
-        free = [f - n for f, n in zip(free, need, strict=True)]
+        free = [f - n for f, n in zip(free, needed, strict=True)]
     leaving: list[Attempt] = []
     for victim in sorted(may_stop, key=lambda a: lost_work(a, now)):
-        gone = victim.job.spec
+        leaving_spec = victim.job.spec
         leaving.append(victim)
-        free = [f + g for f, g in zip(free, (gone.cpus, gone.gpus, gone.memory_gb), strict=True)]
-        if len(found) < spec.tasks and all(f >= n - EPS for f, n in zip(free, need, strict=True)):
+        free = [
+            f + g for f, g in zip(free, (leaving_spec.cpus, leaving_spec.gpus, leaving_spec.memory_gb), strict=True)
+        ]
+        if len(found) < spec.tasks and all(f >= n - EPS for f, n in zip(free, needed, strict=True)):
             cost = max(fetch_cost + sum(lost_work(a, now) for a in leaving), found[-1].cost if found else 0.0)
             found.append(Slot(cost, machine, leaving))
-            free = [f - n for f, n in zip(free, need, strict=True)]
+            free = [f - n for f, n in zip(free, needed, strict=True)]
             leaving = []
     return found
 
@@ -47,9 +49,10 @@
 def victims_for_gang(
     job: Job, machines: Iterable[Machine], may_stop: Callable[[Machine], list[Attempt]], now: float
 ) -> list[Attempt]:
-    """Whom to stop so that all tasks of the gang find room, where that throws away least; nobody if it cannot be.
+    """The attempts to stop so that the whole gang finds room at the least cost; empty if it cannot.
 
-    In one zone if the job wants that. Nobody is stopped for a part of a gang: it would hold room and not run.
+    The slots are in one zone if the job must be. Nothing is stopped for a part of a gang: it would hold room and not
+    run.
     """
     by_zone: dict[str, list[Slot]] = {}
     for machine in machines:
--- a/pepperlatch/policy/heartbeat_router.py
+++ b/pepperlatch/policy/heartbeat_router.py
@@ -1,7 +1,7 @@
-"""Which controller takes a worker's reports: one in the worker's own zone, if one there hears the leader.
+"""Chooses the controller that takes a worker's reports: one in the worker's zone, if it is in contact with the leader.
 
-A zone that is cut off from everything keeps the links inside it. Workers that report within their zone lose nobody
-then, need not look for a way while their leases run, and the controller there may stand in for the leader (G,
+A zone that is partitioned from all others keeps its own links. Workers that report within their zone then keep their
+controller, need not look for another one while their leases run, and that controller may stand in for the leader (G in
 `docs/safety.md`). No I/O, no clock.
 """
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class _Redirect:
-    """When a worker was last sent elsewhere, and until when its reports are taken here instead."""
+    """When a worker was last sent to another controller, and until when its reports are accepted here instead."""
 
     at: float
     accept_until: float = -1.0
@@ -22,18 +22,21 @@
 
 @dataclass(slots=True)
 class HeartbeatRouter:
-    """Of one node. `zones`: of all nodes, itself included."""
+    """Where one controller sends the workers that report to it. All times are of its steady clock, in seconds."""
 
-    node: str
-    zones: dict[str, str]
+    node: str  # this controller
+    zones: dict[str, str]  # controller -> zone, this one included
     heard_leader_at: dict[str, float] = field(
         default_factory=dict
-    )  # when another node last said that it hears the leader
-    remote_report_at: float = float("-inf")  # a worker of a zone with controllers of its own reported here
+    )  # controller -> when it last said it hears the leader
+    remote_report_at: float = float("-inf")  # last report from a zone with its own controllers
     redirects: dict[str, _Redirect] = field(default_factory=dict)
 
     def preferred_controller(self, machine: str, zone: str, now: float) -> str | None:
-        """The node in the worker's zone that is to take its reports: None if this one may as well."""
+        """The controller in the worker's zone that should take its reports; None if this one may as well.
+
+        Each worker has its own choice among several, by a hash of its name, which spreads them.
+        """
         if self.zones[self.node] == zone:
             return None
         in_zone = [node for node, other in self.zones.items() if other == zone]
@@ -43,19 +46,26 @@
         return max(in_contact, key=lambda node: crc32(f"{machine} {node}".encode()), default=None)
 
     def controllers_to_query(self, now: float) -> list[str]:
-        """Nodes to ask whether they hear the leader: only while workers of their zones report here."""
+        """The other controllers, to be asked whether they are in contact with the leader.
+
+        Empty unless a worker from a zone with controllers of its own reported here within `HOME_LOOK_S`.
+        """
         if now - self.remote_report_at > c.HOME_LOOK_S:
             return []
         return [node for node in self.zones if node != self.node]
 
     def record_health(self, node: str, hears_leader: bool, now: float) -> None:
+        """Take in another controller's answer whether it is in contact with the leader."""
         if hears_leader:
             self.heard_leader_at[node] = now
         else:
             self.heard_leader_at.pop(node, None)
 
     def may_redirect(self, machine: str, now: float) -> bool:
-        """Whether the worker may be sent elsewhere; one that is soon back had no success there."""
+        """Whether the worker may be sent to another controller now; if so, that is recorded.
+
+        A worker that is back within `RELAY_AFTER_S` had no success there, and is accepted here for `RELAY_STICKY_S`.
+        """
         redirect = self.redirects.get(machine)
         if redirect is None or (now - redirect.at > c.RELAY_AFTER_S and now > redirect.accept_until):
             self.redirects[machine] = _Redirect(now)
@@ -65,6 +75,6 @@
         return False
 
     def accept_locally(self, machines: Iterable[str], now: float) -> None:
-        """Take these workers' reports here for a while: the leader does not reach them."""
+        """Accept these workers' reports here for `RELAY_STICKY_S`: the leader does not reach them."""
         for name in machines:
             self.redirects[name] = _Redirect(now, now + c.RELAY_STICKY_S)
--- a/pepperlatch/policy/operator_settings.py
+++ b/pepperlatch/policy/operator_settings.py
@@ -1,4 +1,4 @@
-"""Operators' own settings: name, unit, bounds, default and reason; changed through the administration API."""
+"""Settings that operators change at run time through the administration API (`PUT /admin/settings`)."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,6 +6,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
+    """One setting; `reason` says why its default is as it is, and is shown to operators."""
+
     default: float
     minimum: float
     maximum: float
@@ -32,11 +34,15 @@
 
 
 class InvalidSetting(ValueError):
-    """The message names the field."""
+    """An unknown setting, or a value that is no number or out of bounds. The message begins with the setting's name."""
 
 
 class OperatorSettings:
-    """The settings in force: defaults, overlaid by what the state service holds."""
+    """The values in force: the defaults, replaced by those that the state service holds.
+
+    Stored settings that this version does not know are ignored. Raises `InvalidSetting` for a stored value that is not
+    valid.
+    """
 
     def __init__(self, stored: dict[str, Any] | None = None) -> None:
         self._values = {name: setting.default for name, setting in OPERATOR_SETTINGS.items()}
@@ -52,6 +58,7 @@
 
 
 def validated(name: str, value: object) -> float:
+    """The value as a number; raises `InvalidSetting`."""
     setting = OPERATOR_SETTINGS.get(name)
     if setting is None:
         raise InvalidSetting(f"{name}: no such setting")
--- a/pepperlatch/policy/overdue_jobs.py
+++ b/pepperlatch/policy/overdue_jobs.py
@@ -1,8 +1,8 @@
-"""Whose turn it is when order alone would starve somebody.
+"""Keeps jobs that have waited long from starving, at a bounded cost to the others. No I/O, no clock.
 
-Priorities, guarantees and aims decide who goes first (`planner.ordered`). Under a stream of work that goes before it a
-job could wait for ever, and a gang could even at the head of the order: what comes free is too little for all of its
-tasks, and whoever comes next takes it. Both end here, at bounded cost to the others.
+Priorities, guarantees and objectives decide the order (`Planner.placement_order`). Under a stream of jobs that go
+before it a job could wait for ever. A gang could wait for ever even as the first: what becomes free is too little for
+all of its tasks, and the next job takes it.
 """
 
 from collections.abc import Iterable
@@ -13,16 +13,16 @@
 
 
 def is_overdue(job: Job, now: float) -> bool:
-    """It has waited so long that it must begin, and nothing says that it cannot.
+    """Whether the job has waited so long that it must start: `OVERDUE_GANG_S` for a gang, `OVERDUE_S` for others.
 
-    What failed is left out: a job submitted with a mistake would stand before all others of its team for ever.
+    A job that failed on a machine never is: one submitted with a mistake would go before its team's others for ever.
     """
     patience_s = c.OVERDUE_GANG_S if job.spec.kind is Kind.GANG else c.OVERDUE_S
     return not job.ran and not job.live and not job.failed_on and now - job.since > patience_s
 
 
 def first_overdue_by_team(order: list[Job], now: float) -> list[Job]:
-    """Of each team the overdue job that has waited longest: one, or a crowd of old work would be first."""
+    """Each team's overdue job that has waited longest, oldest first; only one each, or old jobs would all go first."""
     first: dict[str, Job] = {}
     for job in order:
         if is_overdue(job, now) and (job.spec.team not in first or job.since < first[job.spec.team].since):
@@ -31,16 +31,20 @@
 
 
 def reserves_room(job: Job, now: float) -> bool:
-    """Whether others leave a gang that is ahead what comes free. Half of the time only: it may never come free."""
+    """Whether other jobs must leave room for the overdue gang now.
+
+    They do for `HOLD_BACK_S`, then not for as long, and so on: enough room may never become free.
+    """
     if job.spec.kind is not Kind.GANG or not is_overdue(job, now):
         return False
     return (now - job.since - c.OVERDUE_GANG_S) % (2 * c.HOLD_BACK_S) < c.HOLD_BACK_S
 
 
 def reserved_machines(job: Job, machines: Iterable[Machine], zones: Iterable[str]) -> set[Machine]:
-    """The machines that will have room for all its tasks first, if only replicas stay; none if they never will.
+    """The machines expected to be the first with room for the whole gang; empty if they can never hold it.
 
-    Those with most room free now: what still runs there ends soonest, as far as anybody can tell.
+    Replicas are taken to stay and all other tasks to end. Machines with most room free now come first: it is the best
+    estimate of where running tasks end soonest.
     """
     spec = job.spec
     fitting = [
@@ -53,6 +57,7 @@
 
 
 def _enough_machines(spec: JobSpec, machines: list[Machine]) -> list[Machine]:
+    """The first of the machines that together hold all tasks; empty if all of them do not."""
     chosen: list[Machine] = []
     left = spec.tasks
     for machine in machines:
@@ -64,11 +69,14 @@
 
 
 def _slots_beside_replicas(machine: Machine, spec: JobSpec) -> int:
-    """How many of its tasks fit beside the replicas."""
-    stay = [a.job.spec for a in machine.attempts.values() if a.job.spec.kind is Kind.SERVICE]
+    """How many of the tasks fit on the machine beside its replicas alone."""
+    replicas = [a.job.spec for a in machine.attempts.values() if a.job.spec.kind is Kind.SERVICE]
     rooms = [
-        int((getattr(machine.type, what) - sum(getattr(other, what) for other in stay) + EPS) // getattr(spec, what))
-        for what in ("cpus", "gpus", "memory_gb")
-        if getattr(spec, what) > 0
+        int(
+            (getattr(machine.type, resource) - sum(getattr(other, resource) for other in replicas) + EPS)
+            // getattr(spec, resource)
+        )
+        for resource in ("cpus", "gpus", "memory_gb")
+        if getattr(spec, resource) > 0
     ]
     return max(0, min(rooms, default=spec.tasks))
--- a/pepperlatch/policy/pace.py
+++ b/pepperlatch/policy/pace.py
@@ -1,27 +1,27 @@
-"""How much one round of planning may do, so that it ends in time. No I/O, no clock.
+"""Limits the work of one planning round so that it ends in time. No I/O, no clock.
 
-While a leader plans it touches no lease, takes in no report and answers none. How long a round takes depends on the
-machine that it runs on, so work is counted by the planner and its speed learned from the rounds that were measured.
+While a leader plans, it renews no lease and takes in and answers no report. How long a round takes depends on the
+machine that the leader runs on, so the planner counts its work and the leader measures how fast it is done.
 """
 
 from dataclasses import dataclass
 
 from pepperlatch.constants import core as c
 
-PLACEMENT_WORK = 100.0  # machines looked at that cost about as much as one placement
+PLACEMENT_WORK = 100.0  # work units of one placement; one unit is one machine looked at
 
 
 @dataclass(slots=True)
 class RoundPace:
-    """Work is counted in machines looked at."""
+    """The speed of planning on this leader; work is counted in machines looked at."""
 
     work_per_s: float = c.PLAN_WORK_PER_S
 
     def work_limit(self) -> float:
-        """How much work the next round may do."""
+        """The work that the next round may do."""
         return max(c.PLAN_WORK_LEAST, self.work_per_s * c.PLAN_ROUND_S)
 
     def record_round(self, work: float, seconds: float) -> None:
-        """A round did so much; one that was short is over before its length says anything."""
+        """Take in the work and duration of a round. Rounds below `PLAN_MEASURED_S` are ignored: they say little."""
         if work > 0 and seconds >= c.PLAN_MEASURED_S:
             self.work_per_s = (self.work_per_s + work / seconds) / 2
--- a/pepperlatch/policy/placement.py
+++ b/pepperlatch/policy/placement.py
@@ -1,4 +1,7 @@
-"""Where a task goes: a machine that has or is fetching the image, then the fullest that fits."""
+"""Ranks machines for the tasks of a job: those that have or fetch its image first, then the fullest that fits.
+
+No I/O, no clock. The planner calls all of this.
+"""
 
 import heapq
 from collections import Counter
@@ -10,11 +13,13 @@
 
 
 def accepts_tasks(machine: Machine, now: float, fresh_s: float) -> bool:
-    """Takes new tasks: up, recorded, reached lately, in a session that lasts, not on its way out.
+    """Whether the machine takes new tasks: up, recorded, reached within `fresh_s` seconds, in a session that lasts.
 
-    What only others hear of can neither be answered nor commanded: a launch sent there is held, and comes late. What
-    reports and hears nothing loses what it is given with its lease, and is empty again: it would draw task after task.
-    So does what answers us and reaches no controller itself: only answers to its reports prolong its lease.
+    It must not be draining, quarantined or about to be taken back. Three kinds of machines are left out although they
+    are heard of. One that only other controllers hear of can neither be answered nor commanded: a launch sent there is
+    held and comes late. One that reports but receives no answers loses its tasks when its lease ends, is empty again,
+    and would attract task after task (`unheard`). So does one that answers us but reaches no controller itself, since
+    only answers to its reports prolong its lease (`beat_at`).
     """
     return (
         machine.status is Status.UP
@@ -29,14 +34,14 @@
 
 
 def zone_task_limit(job: Job) -> int:
-    """How many tasks of the job one zone may hold."""
+    """How many tasks of the job one zone may hold: half of them, rounded up, if the job must be spread."""
     return (job.spec.tasks + 1) // 2 if job.spec.spread else job.spec.tasks
 
 
 def zone_allowed(job: Job, used: Counter[str], zone: str) -> bool:
-    """Whether one more task of the job may start there, given the zones of its other tasks.
+    """Whether one more task of the job may start in the zone; `used` counts its live tasks in each zone.
 
-    Both conditions hold at once: an array that wants one zone and half its tasks apart runs so many at a time.
+    Both conditions hold at once: an array that must be in one zone and be spread runs half of its tasks at a time.
     """
     if job.spec.one_zone and used and (len(used) > 1 or zone not in used):
         return False
@@ -44,76 +49,87 @@
 
 
 def allowed_zones(job: Job, zones: Iterable[str]) -> list[str]:
-    """Zones where one more task of the job may start."""
+    """The zones where one more task of the job may start."""
     used = Counter(a.machine.zone for a in job.live.values())
     return [zone for zone in zones if zone_allowed(job, used, zone)]
 
 
 def placement_rank(machine: Machine, job: Job, used: Counter[str], start_s: float) -> tuple[float, ...]:
-    """Smaller is better; first of all that a task starts within `start_s`, which a long fetch prevents.
-
-    Tasks that may use spot machines go there before they go where their image is: they cost a third there,
-    and leave the images on ordinary machines to replicas, which may only run on those. Of ordinary machines they
-    take those that replicas keep anyway: the others get empty sooner, and are returned. Among these the
-    smallest type comes first: what is larger may be all that another job's tasks fit on. Replicas go where
-    the image is, to machines that other replicas hold already (else to a cheap one: they stay long and must
-    not pin a large machine), and apart from their siblings, so that one loss costs least. Those that must
-    fetch their image do so each on a machine of its own that keeps room for more: together they would fill
-    the machines that hold an image, and the next service with it would find no room there.
+    """The machine's sort key for a task of the job: the smallest is best.
+
+    `used` counts a service's replicas on each machine; `start_s` is the time in seconds within which a task should
+    start, which a long image fetch may exceed.
+
+    Slow machines come last. Arrays and gangs prefer, in this order:
+    - a machine where they start within `start_s`;
+    - a spot machine, if they may run there, even before one with their image: they cost a third there, and the images
+      on ordinary machines are left to replicas, which run only on those;
+    - an ordinary machine that replicas keep anyway: the others become empty sooner and are returned;
+    - the smallest type: a larger one may be the only one that fits another job's tasks.
+
+    Replicas prefer machines that hold the image; then machines with other replicas, or else a cheap one, since they
+    stay long and must not keep a large machine in use; then machines without replicas of their own service, so that
+    one loss costs least. Replicas that must fetch their image go each to a machine of its own that keeps room for more:
+    together they would fill the machines with that image, and the next service with it would find no room there.
     """
     spec = job.spec
     fetches = machine.fetches() if not machine.holds_image(spec) else frozenset()
     image = 0 if machine.holds_image(spec) else 1 if spec.image in fetches else 3 if fetches else 2
     late = image > 1 and fetch_s(machine, spec) * (1 + len(fetches)) > start_s
-    kind = machine.spot != spec.spot
+    other_kind = machine.spot != spec.spot
     if spec.kind is not Kind.SERVICE:
         size = machine.type.cpus + machine.type.gpus
-        empties = kind and not machine.spot and not machine.kept()
-        return (is_slow(machine), late, kind, empties, size, image, machine.free_cpus, machine.born)
-    home = machine.holds_replicas()
-    pins = machine.price() if not home else 0.0
+        may_empty = other_kind and not machine.spot and not machine.kept()
+        return (is_slow(machine), late, other_kind, may_empty, size, image, machine.free_cpus, machine.born)
+    has_replicas = machine.holds_replicas()
+    pinned_price = machine.price() if not has_replicas else 0.0
     if image == 0:
-        return (is_slow(machine), image, pins, used[machine.name], kind, machine.free_cpus, machine.born)
+        return (is_slow(machine), image, pinned_price, used[machine.name], other_kind, machine.free_cpus, machine.born)
     wait_s = round(fetch_s(machine, spec) * (1 + len(fetches - {spec.image})), 1)
-    last = not machine.has_room(spec, 2)
+    fills = not machine.has_room(spec, 2)
     return (
         is_slow(machine),
         1,
         wait_s,
-        used[machine.name] + (not home),
-        pins + last * machine.price(),
+        used[machine.name] + (not has_replicas),
+        pinned_price + fills * machine.price(),
         machine.free_cpus,
         machine.born,
     )
 
 
 def fetch_s(machine: Machine, spec: JobSpec) -> float:
-    """How long the image takes at worst, with the machine's rate for itself."""
+    """Seconds that fetching the job's image takes at worst, if the machine fetches nothing else meanwhile."""
     return spec.image_gb / max(machine.type.fetch_gb_per_s, EPS) * c.FETCH_SPREAD
 
 
 def would_pin(machine: Machine, cheapest: float) -> bool:
-    """Whether a replica would be the one for which a dear machine is kept, perhaps for hours."""
+    """Whether a replica placed there would keep an expensive machine in use on its own, perhaps for hours.
+
+    `cheapest` is the lowest price of a machine that fits the replica.
+    """
     return not machine.holds_replicas() and machine.price() > c.PIN_RATIO * cheapest
 
 
 def is_slow(machine: Machine) -> bool:
+    """Whether the median of the last `SLOW_SAMPLES` tasks took over `SLOW_FACTOR` times their estimate."""
     recent = machine.pace[-c.SLOW_SAMPLES :]
     return len(recent) >= c.SLOW_SAMPLES and sorted(recent)[len(recent) // 2] > c.SLOW_FACTOR
 
 
 class Candidates:
-    """Usable machines with room for a job's tasks, best first, kept in order while the tasks are placed.
+    """Machines with room for a job's tasks, best first, kept in order while the tasks are placed.
 
-    A machine's rank changes only by what is placed on it, so it is looked at again when it comes first:
-    a job of many tasks looks at every machine once, not once a task. A machine that has no room, is in a
-    zone that is full, or whose room is kept free stays so within one round and is dropped.
+    A machine's rank changes only by what is placed on it, so it is computed again when the machine comes first: a job
+    of many tasks looks at every machine once, not once for each task. A machine without room, in a zone that is full,
+    or refused by `free` stays so within one round and is dropped.
     """
 
     def __init__(
         self, job: Job, machines: Iterable[Machine], zones: Iterable[str],
         free: Callable[[Machine], bool], start_s: float,
     ) -> None:  # fmt: skip
+        """`free` tells whether the job may use a machine's room; `start_s` is the time in which a task should start."""
         self._job = job
         self._start_s = start_s
         self._free = free
@@ -137,6 +153,7 @@
         )
 
     def fits(self, machine: Machine) -> bool:
+        """Whether one more task of the job may be placed there."""
         spec = self._job.spec
         return (
             machine.has_room(spec) and allowed_on(spec, machine.type.name, machine.zone, machine.spot)
@@ -144,6 +161,7 @@
         )  # fmt: skip
 
     def best(self) -> Machine | None:
+        """The best machine for the job's next task; None if no machine is left."""
         heap = self._heap
         while heap:
             stored, n, machine = heap[0]
@@ -157,14 +175,17 @@
         return None
 
     def placed_on(self, machine: Machine) -> None:
-        """One task of the job was placed there."""
+        """Count one task of the job that was placed there."""
         self._tasks_in_zone[machine.zone] += 1
         if self._job.spec.kind is Kind.SERVICE:
             self._tasks_on[machine.name] += 1
 
 
 def with_room_for_smallest(machines: Iterable[Machine], specs: Iterable[JobSpec]) -> list[Machine]:
-    """Machines with room for the smallest of the tasks at least; in a full cluster few are left to look at."""
+    """The machines whose free resources are each at least the least that any of the tasks needs.
+
+    In a full cluster few machines are left to look at.
+    """
     specs = list(specs)
     cpus, gpus, gb = (
         min((getattr(s, name) for s in specs), default=0.0) - EPS for name in ("cpus", "gpus", "memory_gb")
@@ -173,7 +194,11 @@
 
 
 def choose_zone(job: Job, machines: list[Machine], zones: Iterable[str]) -> str | None:
-    """For jobs that must stay in one zone: where most of their tasks find a place, then the image, then room."""
+    """The zone for a job that must stay in one; None if no zone has room.
+
+    It is the zone with slots for most of the job's tasks, then with most of those where the image is, then with most
+    slots.
+    """
     room, ready = Counter[str](), Counter[str]()
     for machine in machines:
         if allowed_on(job.spec, machine.type.name, machine.zone, machine.spot):
@@ -186,7 +211,7 @@
 
 
 def free_together(job: Job, machines: Iterable[Machine]) -> tuple[str, int]:
-    """The zone with the most places for the job's tasks, and how many; "" and all of them if it may be in several."""
+    """The zone with the most slots for the job's tasks, and their number; "" and all slots if it may use several."""
     room = Counter[str]()
     for machine in machines:
         if allowed_on(job.spec, machine.type.name, machine.zone, machine.spot):
@@ -196,6 +221,7 @@
 
 
 def machine_slots(job: Job, machine: Machine) -> int:
+    """How many tasks of the job fit into what the machine has free."""
     spec = job.spec
     pairs = ((spec.cpus, machine.free_cpus), (spec.gpus, machine.free_gpus), (spec.memory_gb, machine.free_gb))
     return max(0, min((int((free + EPS) // need) for need, free in pairs if need > 0), default=spec.tasks))
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -378,7 +378,7 @@
                 left -= len(victims)
 
     def _choose_victims(self, demand: Demand, machines: list[Machine], left: int, now: float) -> list[list[Attempt]]:
-        """The attempts to stop: a list for each of at most `left` machines, or one of at most `left` for a whole gang."""
+        """The attempts to stop: a list for each of at most `left` machines, or one of at most `left` for a gang."""
         job = demand.job
         if job.spec.kind is not Kind.GANG:
             return self._cheapest_victims(job, machines, min(demand.count, left), now)
--- a/pepperlatch/policy/prerequisites.py
+++ b/pepperlatch/policy/prerequisites.py
@@ -1,7 +1,7 @@
-"""Which job needs which: dependents, readiness, cancellation that reaches what comes after, inherited urgency.
+"""The graph of jobs that need others: when a job is ready, which are cancelled with it, and inherited urgency.
 
-Pure: no I/O, no clock. Jobs are named only after they were accepted and are never deleted, so there are no
-cycles; walks use a list of their own instead of recursion and visit each job once.
+No I/O, no clock. A job can name only jobs accepted before it, and none is ever deleted, so there are no cycles. Walks
+use a list instead of recursion, since chains may be long, and visit each job once.
 """
 
 import math
@@ -13,52 +13,57 @@
 
 @dataclass(frozen=True, slots=True)
 class Urgency:
-    """How urgent a job is: the smaller the rank the stronger; `due`: time of day at which it should be done.
+    """How urgent a job is, by its own priority and deadline or by those of jobs that need it."""
 
-    `after`: how many jobs come after it on the way to the one whose deadline that is.
-    """
-
-    rank: int
-    due: float = math.inf
-    jobs_after: int = 0
+    rank: int  # of a priority; a smaller rank is stronger
+    due: float = math.inf  # time of day, in seconds, at which it should be done
+    jobs_after: int = 0  # jobs between this one and the end of the chain whose deadline `due` comes from
 
     def combined_with(self, other: "Urgency") -> "Urgency":
+        """The stronger rank and the earlier due time of both."""
         due, after = min((self.due, -self.jobs_after), (other.due, -other.jobs_after))
         return Urgency(min(self.rank, other.rank), due, -after)
 
 
 @dataclass(slots=True)
 class _UnfinishedJob:
-    """An unfinished job by itself, and what that asks of the jobs before it."""
+    """What is known of an unfinished job by itself."""
 
-    own: Urgency
-    run_s: float
+    own: Urgency  # without what it inherits
+    run_s: float  # estimated run time
 
     def required_of_needed(self, urgency: Urgency) -> Urgency:
-        """The standing that a job needs for this one, which has that standing, to be done in time."""
+        """The urgency that a job needed by this one must have for this one, with the given urgency, to be in time."""
         chained = urgency.due < math.inf
         return Urgency(urgency.rank, urgency.due - self.run_s - STEP_S, urgency.jobs_after + 1 if chained else 0)
 
 
 @dataclass(slots=True)
 class Prerequisites:
-    """Kept up with every change of a job's record; nothing is derived anew for a poll."""
-
-    needs: dict[str, tuple[str, ...]] = field(default_factory=dict)  # of jobs that need any
-    dependents: dict[str, list[str]] = field(default_factory=dict)
-    cancelled_through: dict[str, str] = field(default_factory=dict)  # cancelled jobs -> the job whose record says so
-    done_at: dict[str, float] = field(default_factory=dict)  # finished jobs -> time of day; 0 if not recorded
-    _unfinished: dict[str, _UnfinishedJob] = field(default_factory=dict)  # of unfinished jobs
-    _urgency: dict[str, Urgency] = field(default_factory=dict)  # if here, so are those of all dependents
+    """The graph, updated with every change of a job's record, so that a poll derives nothing anew."""
+
+    needs: dict[str, tuple[str, ...]] = field(default_factory=dict)  # the jobs that a job needs, if any
+    dependents: dict[str, list[str]] = field(default_factory=dict)  # the jobs that need a job
+    cancelled_through: dict[str, str] = field(
+        default_factory=dict
+    )  # cancelled job -> the job whose record says cancelled
+    done_at: dict[str, float] = field(default_factory=dict)  # finished job -> time of day; 0 if it was not recorded
+    _unfinished: dict[str, _UnfinishedJob] = field(default_factory=dict)
+    _urgency: dict[str, Urgency] = field(
+        default_factory=dict
+    )  # a cache; with a job it also holds all of its unfinished dependents
 
     def unfinished(self) -> Iterable[str]:
-        """Jobs that are not over, as far as their descriptions are known."""
+        """Jobs that are neither done nor cancelled and whose descriptions have been read."""
         return self._unfinished
 
     # --- changes ----------------------------------------------------------------------------------
 
     def add(self, job_id: str, needs: Iterable[str], own: Urgency, run_s: float) -> set[str]:
-        """An unfinished job; the jobs that are cancelled now because of what it names."""
+        """Add an unfinished job; returns the jobs that are cancelled because it needs a cancelled one.
+
+        `own` is its urgency without dependents, `run_s` its estimated run time in seconds.
+        """
         if job_id in self._unfinished or job_id in self.cancelled_through or job_id in self.done_at:
             return set()
         self._unfinished[job_id] = _UnfinishedJob(own, run_s)
@@ -72,13 +77,16 @@
         return self.cancel(job_id, over) if over is not None else set()
 
     def finish(self, job_id: str, at: float) -> set[str]:
-        """The job's record says done; the jobs that may be ready now."""
+        """The job's record says done since `at`, a time of day; returns the jobs that may be ready now."""
         self.done_at[job_id] = at
         self._drop(job_id)
         return set(self.dependents.get(job_id, ()))
 
     def cancel(self, job_id: str, through: str) -> set[str]:
-        """The job is cancelled, and so is all that needs it, directly or through others: none of it can have run."""
+        """Cancel the job and all that need it, directly or through others, none of which can have run; returns them.
+
+        `through` is the job whose record says cancelled.
+        """
         found: set[str] = set()
         todo = [job_id]
         while todo:
@@ -99,20 +107,21 @@
     # --- readiness --------------------------------------------------------------------------------
 
     def unmet_needs(self, job_id: str) -> list[str]:
-        """The jobs that it needs and that are not recorded as done."""
+        """The jobs that it needs whose records do not say done."""
         return [name for name in self.needs.get(job_id, ()) if name not in self.done_at]
 
     def ready_at(self, job_id: str, submitted: float) -> float:
-        """Time of day at which the last job it needs was done.
+        """Time of day at which the last job that it needs was done; its submission if it needs none.
 
-        Where that was not recorded (an earlier version wrote it): the submission, which is never later.
+        The submission also stands for a time that was not recorded, since an earlier version wrote the record: it is
+        never later.
         """
         return max([submitted, *(self.done_at.get(name, 0.0) for name in self.needs.get(job_id, ()))])
 
     # --- inherited urgency ------------------------------------------------------------------------
 
     def urgency(self, job_id: str) -> Urgency | None:
-        """The job's own rank and due time, or stronger ones of what needs it; None if it is over."""
+        """The job's urgency, with what it inherits from jobs that need it; None if it is over or unknown."""
         todo = [job_id]
         while todo:
             name = todo[-1]
@@ -136,7 +145,7 @@
         return (name for name in self.dependents.get(job_id, ()) if name in self._unfinished)
 
     def with_needed(self, job_ids: Iterable[str]) -> set[str]:
-        """The jobs given and all unfinished ones that they need, directly or through others."""
+        """The given jobs and all unfinished ones that they need, directly or through others."""
         found: set[str] = set()
         todo = list(job_ids)
         while todo:
@@ -147,7 +156,7 @@
         return found
 
     def _tighten(self, job_id: str) -> None:
-        """A job has come: it can only make those before it more urgent, and only what is known already changes."""
+        """Update the cache for a new job: it can only make the jobs that it needs more urgent."""
         todo = [job_id]
         self.urgency(job_id)
         while todo:
@@ -160,6 +169,6 @@
                     todo.append(need)
 
     def _forget_urgency(self, job_id: str) -> None:
-        """Also of all before it, for theirs may follow from it."""
+        """Drop the cached urgency of the job and of all that it needs, since theirs may follow from it."""
         for name in self.with_needed([job_id]):
             self._urgency.pop(name, None)
--- a/pepperlatch/policy/shortage.py
+++ b/pepperlatch/policy/shortage.py
@@ -1,4 +1,4 @@
-"""What is done for tasks without a place, in the words of the round that decided it. No I/O, no clock."""
+"""States why tasks have no room and what is done about it, after a round of renting. No I/O, no clock."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -15,23 +15,25 @@
 
 @dataclass(slots=True)
 class ShortageExplainer:
-    """One round of renting: what was refused, asked for, cut off and coming. Alike jobs are looked at once."""
+    """What one round of renting knows; reasons are cached, since many jobs need the same."""
 
     types: dict[str, MachineType]
-    blocked_until: dict[Offer, float]  # refused, until when
-    requested: set[Offer]
+    blocked_until: dict[Offer, float]  # when a refused offer may be requested again
+    requested: set[Offer]  # offers in rent requests without an answer yet
     unreachable_zones: Iterable[str]
-    booting: list[Bin]
-    first_boot_at: float | None
+    booting: list[Bin]  # machines that are booting or requested
+    first_boot_at: float | None  # when the first of them will be up, about
     now: float
     _reasons: dict[Shape, Reason] = field(default_factory=dict)
     _sizes: dict[Shape, str] = field(default_factory=dict)
-    _booting_counts: Counter[Offer] | None = None  # as many of them are of one kind
+    _booting_counts: Counter[Offer] | None = None  # machines of each offer, counted when first needed
 
     def reason(self, demand: Demand, wanted: int, after_boot: int, after_finish: int) -> Reason:
-        """Of a job's `wanted` tasks: how many were left after what is booting, what will end, and what is asked for.
+        """Why the job's `wanted` tasks wait.
 
-        The hardest part gives the reason: what nobody can serve, before what is asked for, before what will come.
+        `after_boot` of them were left after counting on booting machines, `after_finish` after counting also on running
+        tasks that end in time, and `demand.count` after renting. The worst part gives the reason: tasks that no offer
+        serves, then those for which machines are requested, then those that finishing tasks or booting machines serve.
         """
         spec = demand.job.spec
         if demand.count > 0:
@@ -43,6 +45,7 @@
         return self._cached_reason(Why.BOOTING, demand, wanted)
 
     def _size(self, spec: JobSpec) -> str:
+        """What one task takes, in words."""
         key = (spec.cpus, spec.gpus, spec.memory_gb)
         cached = self._sizes.get(key)
         if cached is None:
@@ -60,6 +63,7 @@
         return cached
 
     def _booting_reason(self, spec: JobSpec, tasks: int) -> Reason:
+        """The tasks wait for booting machines; states how many of them a task fits."""
         if self._booting_counts is None:
             self._booting_counts = Counter(room.offer for room in self.booting)
         fitting = sum(
@@ -69,6 +73,7 @@
         return Reason(Why.BOOTING, tasks=tasks, each=self._size(spec), machines=fitting, until=self.first_boot_at)
 
     def _unserved_reason(self, demand: Demand, tasks: int) -> Reason:
+        """Why no machine could be requested for the tasks."""
         spec, size = demand.job.spec, self._size(demand.job.spec)
         offers = [
             Offer(kind.name, zone, spot)
@@ -83,7 +88,7 @@
             return Reason(Why.THRIFT, tasks=tasks, each=size)
         if any(offer in self.requested for offer in open_):
             return Reason(Why.ASKED, tasks=tasks, each=size)
-        if open_:  # more than is asked for at once
+        if open_:  # more machines are needed than are requested at once
             return Reason(Why.NO_ROOM, tasks=tasks, each=size)
         until = min((self.blocked_until[offer] for offer in reachable), default=None)
         where = f"{_list(offer.type for offer in reachable)} in {_list(offer.zone for offer in reachable)}"
--- a/pepperlatch/policy/supply.py
+++ b/pepperlatch/policy/supply.py
@@ -1,4 +1,4 @@
-"""Room that will come by itself, and room that is kept free. No I/O, no clock."""
+"""Time that jobs may wait, room that running tasks will free, and the room kept free for replicas. No I/O, no clock."""
 
 import math
 import statistics
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class FinishingSlot:
-    """Room that a running task will leave."""
+    """The room of a running task, and in how many seconds it is expected to be free."""
 
     machine: Machine
     spec: JobSpec
@@ -28,101 +28,102 @@
 
 
 def remaining_s(attempt: Attempt, now: float) -> float:
+    """Seconds that the task still needs by its estimate; a late one is given a share of its estimate."""
     ran = now - attempt.running_at if attempt.running_at is not None else 0.0
     return max(attempt.job.spec.estimate_s - ran, c.LATE_TASK_SHARE * attempt.job.spec.estimate_s)
 
 
 def slack_s(job: Job, objectives: Iterable[Objective], now: float) -> float:
-    """How much longer the job's tasks may wait before an aim of its class is missed.
+    """Seconds that the job's tasks may still wait before it misses its deadline or an objective of its class.
 
-    The jobs of a chain share the time to spare: a step that waited it out for free places would leave none for
-    the run times behind it, which are only estimated.
+    The jobs of a chain share the time to spare: a step that used all of it to wait for slots would leave none for the
+    steps after it, whose run times are only estimated.
     """
     waited, spec = now - job.since, job.spec
     run_s = spec.estimate_s * c.ESTIMATE_CAUTION
     slack = [(job.due_at - now - run_s) / (1 + job.after)] if job.due_at is not None else []
-    for aim in objectives:
-        if aim.job_class == spec.job_class and aim.within_s is not None:
-            slack.append(aim.within_s - waited - (run_s if aim.kind == "finished" else 0.0))
+    for objective in objectives:
+        if objective.job_class == spec.job_class and objective.within_s is not None:
+            slack.append(objective.within_s - waited - (run_s if objective.kind == "finished" else 0.0))
     return max(0.0, min(slack, default=0.0) * c.SLACK_SHARE)
 
 
 def start_target_s(spec: JobSpec, objectives: Iterable[Objective]) -> float:
-    """How soon the class's tasks are to start, by the strictest aim; for ever if there is none."""
+    """Seconds within which the class's tasks should start, by its strictest objective; infinite without one."""
     return min(
         (
-            a.within_s
-            for a in objectives
-            if a.kind == "wait" and a.job_class == spec.job_class and a.within_s is not None
+            objective.within_s
+            for objective in objectives
+            if objective.kind == "wait" and objective.job_class == spec.job_class and objective.within_s is not None
         ),
         default=math.inf,
     )
 
 
 def next_deadline(job: Job, objectives: Iterable[Objective], inside: bool, now: float) -> float:
-    """When the job's tasks must start for the next aim that can still be met; for ever if none can.
+    """When the job's tasks must start to meet its next deadline or objective; infinite if none can be met any more.
 
-    What is late anyway yields to what is not yet: in a crowd that nobody can serve in time, strict order
-    of arrival would make everyone late. After twice its longest aim a job goes first again.
+    A job that is late yields to those that are not: when more jobs arrive than can be served in time, strict order of
+    arrival would make all of them late. A job that waited `LOST_AIMS_TIMES` its longest objective goes first again.
+    `inside`: it is within its team's guarantee. The result is a time of the leader's steady clock.
     """
     spec, waited = job.spec, now - job.since
     ends = [job.due_at - job.since - spec.estimate_s] if job.due_at is not None else []
-    for aim in objectives:
-        if aim.within_s is None:
+    for objective in objectives:
+        if objective.within_s is None:
             continue
-        if aim.job_class == spec.job_class:
-            ends.append(aim.within_s - (spec.estimate_s if aim.kind == "finished" else 0.0))
-        elif aim.kind == "guarantee" and inside:
-            ends.append(aim.within_s)
+        if objective.job_class == spec.job_class:
+            ends.append(objective.within_s - (spec.estimate_s if objective.kind == "finished" else 0.0))
+        elif objective.kind == "guarantee" and inside:
+            ends.append(objective.within_s)
     if ends and waited > c.LOST_AIMS_TIMES * max(ends):
         return job.since
     return job.since + min((end for end in ends if end > waited + c.START_S), default=math.inf)
 
 
 def assign_finishing_slots(demand: Demand, slots: list[FinishingSlot], patience_s: float) -> None:
-    """Let finishing tasks' places serve the need, several in a row where time allows; they come free later then.
+    """Reduce the demand by the tasks that can run in these slots, several one after the other where time allows.
 
-    `places` are sorted, the soonest first, and are again when it returns.
+    `patience_s` is how long the tasks may wait. The slots taken become free later. `slots` are sorted by the time at
+    which they become free, before and after the call.
     """
     spec = demand.job.spec
     run_s = max(spec.estimate_s, 1.0)
-    taken = False
+    changed = False
     for slot in slots:
         if demand.count <= 0 or slot.free_in_s > patience_s:
             break
-        machine, old = slot.machine, slot.spec
+        machine, leaving = slot.machine, slot.spec
         fits = (
-            spec.cpus <= old.cpus + EPS
-            and spec.gpus <= old.gpus + EPS
-            and spec.memory_gb <= old.memory_gb + machine.free_gb + EPS
+            spec.cpus <= leaving.cpus + EPS
+            and spec.gpus <= leaving.gpus + EPS
+            and spec.memory_gb <= leaving.memory_gb + machine.free_gb + EPS
         )
         if not fits or not allowed_on(spec, machine.type.name, machine.zone, machine.spot):
             continue
         count = min(demand.count, 1 + int((patience_s - slot.free_in_s) // run_s))
         demand.count -= count
         slot.free_in_s += count * run_s
-        taken = True
-    if taken:
+        changed = True
+    if changed:
         slots.sort(key=BY_FREE_TIME)
 
 
 @dataclass(slots=True)
 class ReplicaReserve:
-    """Room for replicas on ordinary machines, which other work may not take.
+    """Room for replicas on ordinary machines, which other tasks may not take. Counted in slots of the largest replica.
 
-    As much on machines that hold an image of the services as in all: an image takes longer to fetch
-    than a replica to start.
+    As many slots are kept on the machines that hold a service's image as in all, if fetching that image takes longer
+    than a replica may take to start. The planner counts the reserve anew in each round.
     """
 
-    spec: JobSpec | None = None  # the largest replica there is, as a job that nobody submitted
+    spec: JobSpec | None = None  # the largest replica of all services, as a job of its own
     wanted_slots: int = 0
-    typical_service_slots: int = 0  # replicas of a usual service
-    _required_fetch_rate: dict[str, float] = field(
-        default_factory=dict
-    )  # image -> GB a second that would be soon enough
+    typical_service_slots: int = 0  # replicas of the median service
+    _required_fetch_rate: dict[str, float] = field(default_factory=dict)  # image -> GB/s that is fast enough
     _slots: dict[Machine, int] = field(default_factory=dict)
     _total_slots: int = 0
-    _slots_with_image: Counter[str] = field(default_factory=Counter)  # places on machines that hold an image
+    _slots_with_image: Counter[str] = field(default_factory=Counter)  # slow image -> slots where it is
 
     def recount(
         self,
@@ -131,16 +132,20 @@
         jobs: float,
         start_s: Callable[[JobSpec], float] = lambda s: 0.0,
     ) -> None:
-        """`start_s`: how soon a replica is to start. An image fetched within that needs no room where it is."""
+        """Count the reserve anew for one round.
+
+        `jobs` is for how many services of the largest size room is kept (`spare_jobs`). `start_s` gives the seconds
+        within which a replica should start: an image that is fetched sooner needs no room where it is.
+        """
         replicas = [s for s in specs if s.kind is Kind.SERVICE and s.types is None and s.zone is None]
         largest = max(replicas, key=lambda s: (s.cpus, s.gpus, s.memory_gb), default=None)
-        most = max((s.tasks for s in replicas), default=0)
+        most_replicas = max((s.tasks for s in replicas), default=0)
         self.spec = (
             None
             if largest is None
-            else msgspec.structs.replace(largest, id="", one_zone=False, spread=False, tasks=most, spot=False)
+            else msgspec.structs.replace(largest, id="", one_zone=False, spread=False, tasks=most_replicas, spot=False)
         )
-        self.wanted_slots = math.ceil(jobs * most)
+        self.wanted_slots = math.ceil(jobs * most_replicas)
         self.typical_service_slots = (
             min(self.wanted_slots, int(statistics.median(s.tasks for s in replicas))) if replicas else 0
         )
@@ -155,6 +160,7 @@
                 self.update_machine(machine)
 
     def _slots_free(self, machine: Machine, taken: JobSpec | None = None) -> int:
+        """Replica slots that the machine has free, once a task like `taken` runs there too."""
         if self.spec is None:
             return 0
         need = (self.spec.cpus, self.spec.gpus, self.spec.memory_gb)
@@ -165,10 +171,11 @@
         )
 
     def free_slots(self, image: str | None = None) -> int:
+        """Free replica slots in all, or where the slow image is."""
         return self._total_slots if image is None else self._slots_with_image[image]
 
     def update_machine(self, machine: Machine) -> None:
-        """The machine's room has changed."""
+        """Count a machine of the reserve again: its room has changed."""
         if machine not in self._slots:
             return
         more = self._slots_free(machine) - self._slots[machine]
@@ -182,10 +189,11 @@
         return self.free_slots() < self.wanted_slots
 
     def covers(self, spec: JobSpec, machine: Machine) -> bool:
+        """Whether the machine is part of the reserve and the task is not a replica."""
         return spec.kind is not Kind.SERVICE and machine in self._slots
 
     def needs_machine(self, machine: Machine) -> bool:
-        """Whether room would be short without the machine: in all, or for a usual service where a slow image is."""
+        """Whether slots would be missing without it: in all, or for the median service where a slow image is."""
         slots = self._slots.get(machine)
         if slots is None:
             return False
@@ -194,18 +202,18 @@
         )
 
     def slow_image_count(self, machine: Machine) -> int:
-        """How many slow images its room serves."""
+        """The number of slow images on the machine."""
         return len(self._slow_images(machine))
 
     def remove_machine(self, machine: Machine) -> None:
-        """The machine is returned; the next one is judged without it."""
+        """Leave out a machine that is returned, so that the next one is judged without it."""
         slots = self._slots.pop(machine, 0)
         self._total_slots -= slots
         for image in self._slow_images(machine):
             self._slots_with_image[image] -= slots
 
     def allows(self, spec: JobSpec, machine: Machine) -> bool:
-        """Whether a task may go there: replicas always, others only if enough room stays."""
+        """Whether a task may be placed there: a replica always, any other only if enough slots remain."""
         if not self.covers(spec, machine):
             return True
         lost = self._slots[machine] - self._slots_free(machine, spec)
@@ -216,7 +224,7 @@
         return all(self._slots_with_image[image] - lost >= self.wanted_slots for image in self._slow_images(machine))
 
     def _slow_images(self, machine: Machine) -> list[str]:
-        """Images here that a new replica could not wait for elsewhere."""
+        """Images on the machine whose fetch takes longer than a new replica may take to start."""
         return [
             image for image in machine.images if self._required_fetch_rate.get(image, 0.0) > machine.type.fetch_gb_per_s
         ]
--- a/pepperlatch/policy/zones.py
+++ b/pepperlatch/policy/zones.py
@@ -1,7 +1,8 @@
-"""What the leader makes of each zone, from how many of its machines fell silent and whether its controllers answer.
+"""The leader's estimate of each zone's state, from how many machines are silent and whether its controllers answer.
 
-A pure state machine over evidence; no I/O, no clock. It proves nothing: that a task of a lost zone is gone is proven as
-for any other (`docs/safety.md`). It decides what is worth doing while the zone is away (`docs/zones.md`).
+A state machine over observations; no I/O, no clock. It proves nothing: that a task of an unreachable zone is gone is
+proven as for any other (`docs/safety.md`). It decides what is worth doing while the zone is unreachable
+(`docs/zones.md`).
 """
 
 from dataclasses import dataclass, field
@@ -11,44 +12,50 @@
 
 
 class ZoneState(Enum):
+    """The values appear in log lines and events."""
+
     REACHABLE = "whole"
     DOUBTFUL = "doubtful"  # most machines are silent, but a controller there answers
-    PARTITIONED = "cut off"  # most machines are silent, and nobody there answers
+    PARTITIONED = "cut off"  # most machines are silent, and no controller there answers
     RECOVERING = "coming back"
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneObservation:
-    """`answers`: whether a controller of the zone answers, ours included; None if it has none."""
+    """What the leader sees of a zone at one time."""
 
-    up: int
-    silent: int
-    controller_answers: bool | None
+    up: int  # machines that are up by the leader's records, silent ones included
+    silent: int  # those of them not heard of for long
+    controller_answers: bool | None  # whether a controller of the zone answers, this one included; None if it has none
 
     def mostly_silent(self) -> bool:
+        """Whether so many machines are silent as do not die at once by themselves; False for a zone with few."""
         share = c.SILENT_SHARE_ALONE if self.controller_answers is None else c.SILENT_SHARE
         return self.up >= c.MACHINES_LEAST and self.silent >= share * self.up
 
     def mostly_reporting(self) -> bool:
+        """Whether few enough machines are silent for the zone to count as reachable again."""
         return self.silent < c.BACK_SHARE * self.up
 
 
 @dataclass(slots=True)
 class Zone:
+    """The state of one zone; times are of the leader's steady clock, in seconds."""
+
     state: ZoneState = ZoneState.REACHABLE
-    since: float = float("-inf")  # of this state
-    partitioned_at: float = float("-inf")  # since when it is, or was last, cut off
-    last_up_at: float = float("-inf")  # when a machine of ours there last told anything
+    since: float = float("-inf")  # when this state began
+    partitioned_at: float = float("-inf")  # when the present or last partition began
+    last_up_at: float = float("-inf")  # when the zone was last observed with machines up
 
     def observe(self, observation: ZoneObservation, now: float) -> bool:
-        """Take in what is seen; whether the state changed."""
+        """Take in an observation; returns whether the state changed."""
         if observation.up:
             self.last_up_at = now
         next_state = self._next(observation, now)
         if next_state is self.state:
             return False
         if next_state is ZoneState.PARTITIONED and now - self.partitioned_at > c.KEEP_S:
-            self.partitioned_at = now  # one that flaps is one cut
+            self.partitioned_at = now  # a zone that flaps has one partition
         self.state, self.since = next_state, now
         return True
 
@@ -64,7 +71,7 @@
         return ZoneState.REACHABLE
 
     def _next_when_partitioned(self, observation: ZoneObservation, now: float) -> ZoneState:
-        if not observation.up:  # nothing of ours is there to tell: it is tried again after a while
+        if not observation.up:  # no machine is left to observe: the zone is tried again after a while
             return ZoneState.PARTITIONED if now - self.last_up_at < c.TRY_AGAIN_S else ZoneState.REACHABLE
         return (
             ZoneState.RECOVERING
@@ -76,10 +83,12 @@
 
 @dataclass(slots=True)
 class ZoneTracker:
+    """The states of all zones observed in this term."""
+
     by_name: dict[str, Zone] = field(default_factory=dict)
 
     def observe(self, name: str, observation: ZoneObservation, now: float) -> ZoneState | None:
-        """The zone's new state, if it changed."""
+        """Take in an observation; returns the zone's new state if it changed, else None."""
         zone = self.by_name.setdefault(name, Zone())
         return zone.state if zone.observe(observation, now) else None
 
@@ -88,7 +97,10 @@
         return zone is not None and zone.state is ZoneState.PARTITIONED
 
     def unreachable(self, now: float) -> set[str]:
-        """Where nothing is rented: it would cost and not report."""
+        """Zones where nothing is rented, since a machine there would cost and not report.
+
+        A doubtful zone is one after `DOUBT_S`.
+        """
         return {
             name for name, zone in self.by_name.items()
             if zone.state is ZoneState.PARTITIONED
@@ -96,7 +108,10 @@
         }  # fmt: skip
 
     def keeps_machines(self, name: str, now: float) -> bool:
-        """Whether its machines are kept, silent and idle as they are: most cuts end before others would be up."""
+        """Whether the zone's machines are kept although they are silent and idle.
+
+        Most partitions end before replacements would be up. Kept for `KEEP_S` of a partition, `BACK_KEEP_S` after it.
+        """
         zone = self.by_name.get(name)
         if zone is None or zone.state not in (ZoneState.PARTITIONED, ZoneState.RECOVERING):
             return False
