--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -88,11 +88,11 @@
         among the positions that they hold together, those that are not late first. A job that has run keeps its
         position, or preempted work could take the room back. Overdue jobs go before all others, one of each team.
         """
-        aims = self.cluster.params.objectives
+        objectives = self.cluster.params.objectives
         jobs = [j for j in self.cluster.jobs.values() if not j.over]
         inside = self.within_guarantee = quota.within_guarantee(jobs, self.cluster.quota.teams)
         waiting = [j for j in jobs if j.waiting]
-        due = {j.spec.id: (supply.next_deadline(j, aims, j.spec.id in inside, now), j.version) for j in waiting}
+        due = {j.spec.id: (supply.next_deadline(j, objectives, j.spec.id in inside, now), j.version) for j in waiting}
         order = sorted(waiting, key=lambda j: (*self._placement_key(j), *due[j.spec.id]))
         groups: dict[tuple[str, int], list[int]] = {}
         for position, job in enumerate(order):
