--- a/pepperlatch/controller/admin.py
+++ b/pepperlatch/controller/admin.py
@@ -9,7 +9,7 @@
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
 from pepperlatch.controller.store import Watched
-from pepperlatch.policy.tuning import KNOBS, BadValue, Tuning, checked
+from pepperlatch.policy.operator_settings import OPERATOR_SETTINGS, InvalidSetting, OperatorSettings, validated
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
 from pepperlatch.protocol.state import Away, StateClient, Unsure
@@ -55,17 +55,17 @@
     def _describe(self) -> dict[str, Any]:
         """All settings in force with default, bounds, unit and reason, and the version that a change has to name."""
         stored, version = self._watched.replica.tuning
-        current = Tuning(stored).values()
+        current = OperatorSettings(stored).values()
         fields = {
             name: {
                 "value": current[name],
                 "default": setting.default,
-                "low": setting.low,
-                "high": setting.high,
+                "low": setting.minimum,
+                "high": setting.maximum,
                 "unit": setting.unit,
                 "reason": setting.reason,
             }
-            for name, setting in KNOBS.items()
+            for name, setting in OPERATOR_SETTINGS.items()
         }
         return {"version": version, "settings": fields}
 
@@ -82,8 +82,8 @@
         except (orjson.JSONDecodeError, KeyError, TypeError):
             return Response(400, {"error": "wanted: an object with version (integer) and settings (object)"})
         try:
-            values = {name: checked(name, value) for name, value in changes.items()}
-        except BadValue as error:
+            values = {name: validated(name, value) for name, value in changes.items()}
+        except InvalidSetting as error:
             return Response(400, {"error": str(error), "field": str(error).partition(":")[0]})
         await self._watched.sync()
         stored, current = self._watched.replica.tuning
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -253,7 +253,7 @@
         """
         while True:
             await trio.sleep(c.HOME_EVERY_S)
-            wanted = self.heartbeats.routes.look(self._clock())
+            wanted = self.heartbeats.routes.controllers_to_query(self._clock())
             async with trio.open_nursery() as nursery:
                 for peer in (p for p in self.settings.peers if p.node in wanted):
                     nursery.start_soon(self._ask_hears_leader, peer)
@@ -261,7 +261,9 @@
     async def _ask_hears_leader(self, peer: Peer) -> None:
         """Record whether the peer hears the leader; one that does not answer counts as not hearing it."""
         health = await self._peer_health(peer)
-        self.heartbeats.routes.heard(peer.node, health is not None and bool(health.get("leader")), self._clock())
+        self.heartbeats.routes.record_health(
+            peer.node, health is not None and bool(health.get("leader")), self._clock()
+        )
 
     async def _peer_reaches_state(self, peer: Peer) -> bool | None:
         """Whether the state service answers this peer; None if the peer does not answer."""
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -22,8 +22,8 @@
 from pepperlatch.controller.owner import Owner, Reply
 from pepperlatch.controller.store import Replica
 from pepperlatch.policy.cluster import PROCESS_AGE
+from pepperlatch.policy.heartbeat_router import HeartbeatRouter
 from pepperlatch.policy.model import split_task
-from pepperlatch.policy.routes import Routes
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.client import Lost, Network, NotSent
 from pepperlatch.protocol.http.server import Response
@@ -64,7 +64,7 @@
         self._leader = leader
         self._lease_s = settings.params.workers.lease_s
         self._addr = {peer.node: peer.addr for peer in settings.peers}
-        self.routes = Routes(
+        self.routes = HeartbeatRouter(
             settings.node, {settings.node: settings.zone} | {peer.node: peer.zone for peer in settings.peers}
         )
         self.leader_contact = LeaderContact()
@@ -89,8 +89,8 @@
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
             return Response(400, {"error": str(error)})
         now = self._clock()
-        preferred = self.routes.home(report.machine, report.zone, now)
-        if preferred is not None and self.routes.send(report.machine, now):
+        preferred = self.routes.preferred_controller(report.machine, report.zone, now)
+        if preferred is not None and self.routes.may_redirect(report.machine, now):
             return Response(421, wire.misdirected(preferred))
         return await self._answer(report, plain, now + c.HEARTBEAT_PATIENCE_S)
 
@@ -174,7 +174,7 @@
             self.delegated_answers.on_forward_ended(report)
         if self._may_renew_lease(report):
             return self._renew_lease(report)
-        if refused and self._state_service_reachable() and self.routes.send(report.machine, self._clock()):
+        if refused and self._state_service_reachable() and self.routes.may_redirect(report.machine, self._clock()):
             return Response(421, wire.misdirected(leader))
         return None
 
@@ -246,7 +246,7 @@
         BEGAN the age of this process in seconds.
         """
         now = self._clock()
-        self.routes.keep(unreached, now)
+        self.routes.accept_locally(unreached, now)
         self._renewal_revoked_until = now + c.STAND_IN_BAR_S
         oldest = now - 2 * self._lease_s
         self._renewed_at = {name: at for name, at in self._renewed_at.items() if at > oldest}
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -24,9 +24,9 @@
 from pepperlatch.policy.delegation import DelegationAnswer, DelegationStatement
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.model import Machine, Status
+from pepperlatch.policy.operator_settings import OperatorSettings
 from pepperlatch.policy.pace import RoundPace
 from pepperlatch.policy.planner import Planner
-from pepperlatch.policy.tuning import Tuning
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.cloud import CloudClient
 from pepperlatch.protocol.http.client import Lost, NotSent
@@ -74,7 +74,7 @@
             settings.node, term.token, settings.params, now, term.hold_s, self._spec_if_over, self._cancelled_since
         )
         self.cluster.images = images
-        self.planner = Planner(self.cluster, Tuning(replica.tuning[0]))
+        self.planner = Planner(self.cluster, OperatorSettings(replica.tuning[0]))
         self._tuning_version = replica.tuning[1]
         self.writer = Writer(state, term, settings.params.state.txn_ops)
         self._duty = Duty(settings, term, replica, owner, clock, wall, self.cluster, self.planner, self.writer)
@@ -209,13 +209,13 @@
 
     def _stand(self, job_id: str) -> None:
         """A job works with the rank and the due time of whatever needs it, if those are stronger than its own."""
-        job, standing = self.cluster.jobs.get(job_id), self.replica.chain.standing(job_id)
+        job, standing = self.cluster.jobs.get(job_id), self.replica.chain.urgency(job_id)
         if job is None or standing is None:
             return
         due_at = self.clock() + standing.due - self.wall() if standing.due < math.inf else None
         if (job.rank, job.due_at is None) != (standing.rank, due_at is None):
             self.cluster.dirty = True
-        job.rank, job.due_at, job.after = standing.rank, due_at, standing.after
+        job.rank, job.due_at, job.after = standing.rank, due_at, standing.jobs_after
 
     def on_jobs(self, touched: set[str]) -> None:
         """The watch has shown changes of these jobs."""
@@ -233,11 +233,11 @@
                 self._add_job(job_id)
             else:
                 known.version = entry.version
-        for job_id in self.replica.chain.before(touched):
+        for job_id in self.replica.chain.with_needed(touched):
             self._stand(job_id)
         if self.replica.tuning[1] != self._tuning_version:
             self._tuning_version = self.replica.tuning[1]
-            self.planner.tuning = Tuning(self.replica.tuning[0])
+            self.planner.settings = OperatorSettings(self.replica.tuning[0])
 
     # --- reports ----------------------------------------------------------------------------------
 
@@ -310,20 +310,20 @@
 
         By a longer one still if nothing changes: only moments can be reached then, pauses' ends and the like.
         """
-        self.planner.notices(now)
-        self.planner.work_most = self._pace.most()
+        self.planner.stop_before_reclaim(now)
+        self.planner.work_limit = self._pace.work_limit()
         began = self.clock()
         self.planner.place_all(now)
-        self._pace.took(self.planner.work, self.clock() - began)
+        self._pace.record_round(self.planner.work_done, self.clock() - began)
         self.planner.preempt(now)
         if sure and now - self._rented_at >= c.RENT_GAP_S:
             self._rented_at = now
             self._rentals.rent(now)
         elif not sure:
-            self.planner.hold(now)
+            self.planner.explain_renting_held(now)
         took = self.clock() - now
         self._plan_after = now + took + max(c.PLAN_GAP_S, c.PLAN_REST * took)
-        self.planner.look_after = now + took + c.PLAN_LOOK_REST * took
+        self.planner.replan_after = now + took + c.PLAN_LOOK_REST * took
         if took > c.PLAN_LONG_S:
             log.info("a round of planning took %.3f s", took)
 
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -14,9 +14,9 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.policy.cluster import Cluster
+from pepperlatch.policy.operator_settings import OperatorSettings
 from pepperlatch.policy.pace import PLACEMENT_WORK, RoundPace
 from pepperlatch.policy.planner import Planner
-from pepperlatch.policy.tuning import Tuning
 from pepperlatch.protocol import wire
 from tests.cuts.test_sessions import cluster_of
 from tests.fakes import ZONES, World, job, story
@@ -56,7 +56,7 @@
         one.session = 1
     for one in jobs:
         cluster.add_job(wire.convert(one, wire.JobSpec), int(one["name_id"][4:]), 0.0, set())
-    return Planner(cluster, Tuning(), work_most=work_most)
+    return Planner(cluster, OperatorSettings(), work_limit=work_most)
 
 
 def rounds_of(planner: Planner, most: int = 1000) -> int:
@@ -84,7 +84,7 @@
     assert rounds_of(whole) == 1
     assert rounds_of(bounded) > 3
     assert placed(bounded) == placed(whole)
-    assert [(n.job.spec.id, n.count) for n in bounded.needs] == [(n.job.spec.id, n.count) for n in whole.needs]
+    assert [(n.job.spec.id, n.count) for n in bounded.demands] == [(n.job.spec.id, n.count) for n in whole.demands]
 
 
 def test_a_round_does_no_more_than_it_may_and_what_waits_in_vain_holds_up_nobody() -> None:
@@ -92,8 +92,8 @@
     planner = planner_of([*in_vain, job(40, pieces=3, cores=1.0, urgency="low")], 10, 50.0)
     while not planner.cluster.jobs["run-000040"].live:
         planner.place_all(1.0)
-        assert planner.work <= 50.0 + 10 + PLACEMENT_WORK
-    assert len(planner.needs) == 39, "what earlier rounds of the pass found no room for is still needed"
+        assert planner.work_done <= 50.0 + 10 + PLACEMENT_WORK
+    assert len(planner.demands) == 39, "what earlier rounds of the pass found no room for is still needed"
 
 
 def test_between_two_rounds_a_newcomer_goes_first_and_what_was_cancelled_is_left_out() -> None:
@@ -113,15 +113,15 @@
 
 def test_the_pace_follows_what_rounds_took_and_never_stops() -> None:
     pace = RoundPace()
-    assert pace.most() == c.PLAN_WORK_PER_S * c.PLAN_ROUND_S
-    pace.took(100.0, 0.001)
-    assert pace.per_s == c.PLAN_WORK_PER_S, "too short to say anything"
+    assert pace.work_limit() == c.PLAN_WORK_PER_S * c.PLAN_ROUND_S
+    pace.record_round(100.0, 0.001)
+    assert pace.work_per_s == c.PLAN_WORK_PER_S, "too short to say anything"
     for _ in range(20):
-        pace.took(200_000.0, 1.0)
-    assert pace.most() == pytest.approx(100_000.0, rel=0.01)
+        pace.record_round(200_000.0, 1.0)
+    assert pace.work_limit() == pytest.approx(100_000.0, rel=0.01)
     for _ in range(40):
-        pace.took(10.0, 5.0)
-    assert pace.most() == c.PLAN_WORK_LEAST
+        pace.record_round(10.0, 5.0)
+    assert pace.work_limit() == c.PLAN_WORK_LEAST
 
 
 @pytest.mark.parametrize("shape", ["sweep", "group"])
