--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -468,7 +468,7 @@
             machine.zone not in self.unreachable_zones
             and machine.status is Status.BOOTING
             and not machine.unexpected
-            and now - machine.created_at < self.cluster.boots.expected_s(machine.type)
+            and now - machine.created_at < self.cluster.boot_times.expected_s(machine.type)
         )
 
     def offers_to_rent(self, now: float) -> list[Offer]:
