--- a/pepperlatch/console/recorder.py
+++ b/pepperlatch/console/recorder.py
@@ -24,7 +24,7 @@
 
 
 class Recorder:
-    """All methods of `policy.events.Listener`, told in the owner. Quick: each costs some microseconds."""
+    """All methods of `policy.events.Listener`, called in the command loop. Quick: each costs some microseconds."""
 
     def __init__(
         self, clock: Clock, wall: Clock, accepted_at: Callable[[str], float],
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -81,7 +81,7 @@
                 await trio.sleep(c.REFRESH_S)
                 continue
             enough = self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2  # answers go first
-            if model.pending() and enough and not model.leader.owner.long():
+            if model.pending() and enough and not model.leader.command_loop.is_backlogged():
                 with self._charged(now):
                     model.refresh()
             await trio.sleep(c.ROWS_PAUSE_S)
@@ -102,7 +102,7 @@
         keep_s = c.PAGE_KEPT_S if whole else c.REFRESH_S
         if kept is not None and now - kept.made_at < keep_s and kept.token == model.leader.term.token:
             return kept
-        if self._budget.available(now) <= 0 or model.leader.owner.long():
+        if self._budget.available(now) <= 0 or model.leader.command_loop.is_backlogged():
             if kept is not None and now - kept.made_at < c.AGE_MOST_S:
                 older = {**kept.answer, "age_s": round(now - kept.made_at, 1), "busy": True}
                 return _Kept(kept.made_at, kept.token, older)
--- a/pepperlatch/controller/owner.py
+++ b/pepperlatch/controller/command_loop.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Owner:
+class CommandLoop:
     """Commands run one after the other; after each batch `settle` acts on what they changed."""
 
     settle: Callable[[], None]
@@ -24,15 +24,15 @@
     _queue: deque[Command] = field(default_factory=deque)
     _wake: trio.Event = field(default_factory=trio.Event)
 
-    def post(self, command: Command) -> None:
+    def enqueue(self, command: Command) -> None:
         self._queue.append(command)
         self._wake.set()
 
-    def long(self) -> bool:
+    def is_backlogged(self) -> bool:
         """Whether the node falls behind, so that what is not needed gives way."""
         return len(self._queue) >= c.QUEUE_LONG
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether reports are to be refused; what the node asked for itself is always taken."""
         return len(self._queue) >= c.QUEUE_MOST
 
@@ -41,7 +41,7 @@
             with trio.move_on_after(self.tick_s):
                 await self._wake.wait()
             self._wake = trio.Event()
-            if self.long():
+            if self.is_backlogged():
                 log.info("%d commands wait", len(self._queue))
             for _ in range(len(self._queue)):
                 self._queue.popleft()()
@@ -55,7 +55,7 @@
     value: T | None = None
     _event: trio.Event = field(default_factory=trio.Event)
 
-    def give(self, value: T) -> None:
+    def resolve(self, value: T) -> None:
         self.value = value
         self._event.set()
 
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -12,11 +12,11 @@
 import trio
 
 from pepperlatch.constants import core as c
+from pepperlatch.controller.command_loop import CommandLoop, Reply
 from pepperlatch.controller.heartbeats.handler import HeartbeatHandler, LeaderContact
 from pepperlatch.controller.leader import Leader
 from pepperlatch.controller.leaderless import LeaderlessReturns
 from pepperlatch.controller.leadership import Leadership
-from pepperlatch.controller.owner import Owner, Reply
 from pepperlatch.controller.store import Replica
 from pepperlatch.controller.vouching import Vouching
 from pepperlatch.policy.cancellations import CancelledOn
@@ -56,14 +56,14 @@
     """`leader`: what this node does while it leads, None while it does not."""
 
     def __init__(
-        self, settings: Settings, network: Network, clock: Callable[[], float], owner: Owner, replica: Replica,
-        heartbeats: HeartbeatHandler, leadership: Leadership, vouching: Vouching, images: ImageMemory,
+        self, settings: Settings, network: Network, clock: Callable[[], float], command_loop: CommandLoop,
+        replica: Replica, heartbeats: HeartbeatHandler, leadership: Leadership, vouching: Vouching, images: ImageMemory,
         leader: Callable[[], Leader | None], leaderless: LeaderlessReturns,
     ) -> None:  # fmt: skip
         self._settings = settings
         self._network = network
         self._clock = clock
-        self._owner = owner
+        self._command_loop = command_loop
         self._replica = replica
         self._heartbeats = heartbeats
         self._leadership = leadership
@@ -102,7 +102,7 @@
         """None if the leader may not, or is busy: the contact itself must not wait for that."""
         reply: Reply[DelegationAnswer | None] = Reply()
         proven_at = leader.term.proven_at()
-        self._owner.post(lambda: leader.on_statement(follower, statement, proven_at, reply))
+        self._command_loop.enqueue(lambda: leader.on_statement(follower, statement, proven_at, reply))
         with trio.move_on_after(c.DELEGATION_WAIT_S):
             return await reply.get()
         return None
@@ -206,7 +206,7 @@
         if answer is not None:
             self._peer_answered_at = self._clock()
             until = sent + c.STAND_IN_BAR_S - c.STAND_IN_SLACK_S
-            self._owner.post(lambda: leader.cluster.on_promise(peer.node, answer, until, self._clock()))
+            self._command_loop.enqueue(lambda: leader.cluster.on_promise(peer.node, answer, until, self._clock()))
 
     async def _ask_peer(self, peer: Peer, path: str, message: PeerMessage) -> dict[str, Any] | None:
         try:
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -13,13 +13,13 @@
 from pepperlatch import __version__
 from pepperlatch.constants import core as c
 from pepperlatch.controller.admin import Admin
+from pepperlatch.controller.command_loop import CommandLoop
 from pepperlatch.controller.contacts import PEER_BAR, PEER_CONTACT, Contacts
 from pepperlatch.controller.heartbeats.forwarding import PEER_HEARTBEAT, PEER_HEARTBEATS
 from pepperlatch.controller.heartbeats.handler import HeartbeatHandler
 from pepperlatch.controller.leader import Leader
 from pepperlatch.controller.leaderless import LeaderlessReturns
 from pepperlatch.controller.leadership import Leadership, Term, hold_seconds
-from pepperlatch.controller.owner import Owner
 from pepperlatch.controller.parts import Core, Part, Parts, Told
 from pepperlatch.controller.peers import PEER_FENCE, PEER_INSPECT, Peers
 from pepperlatch.controller.store import Replica, Watched
@@ -65,9 +65,9 @@
         hold_s = hold_seconds(params.workers.cancel_s, params.workers.lease_s)
         self.leadership = Leadership(settings.node, self.state, self.replica, hold_s, clock, seed)
         self.vouching = Vouching(network, settings.peers, self.watched, self.leadership, clock)
-        self.owner = Owner(self._settle, c.TICK_S / 5)
+        self.command_loop = CommandLoop(self._settle, c.TICK_S / 5)
         self.heartbeats = HeartbeatHandler(
-            settings, network, clock, self.owner, self.replica, self.state, hold_s, lambda: self.leader
+            settings, network, clock, self.command_loop, self.replica, self.state, hold_s, lambda: self.leader
         )
         self.users = Users(settings, self.watched, self.state, wall, self._progress, self.vouching.tell)
         self.admin = Admin(self.watched, self.state, self.view)
@@ -81,7 +81,7 @@
             params.workers, clock, self.replica, lambda: self.leader is not None, self.workers, self.peers, self.cloud
         )
         self.contacts = Contacts(
-            settings, network, clock, self.owner, self.replica, self.heartbeats, self.leadership, self.vouching,
+            settings, network, clock, self.command_loop, self.replica, self.heartbeats, self.leadership, self.vouching,
             self.images, lambda: self.leader, self.leaderless,
         )  # fmt: skip
         self.leader: Leader | None = None
@@ -95,7 +95,7 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             loops = (
-                self.owner.run, self.watched.watch, self.watched.serve_syncs, self.users.create_loop,
+                self.command_loop.run, self.watched.watch, self.watched.serve_syncs, self.users.create_loop,
                 self.contacts.run, self._health_loop, self._homes_loop, self._types_loop, self.parts.run,
                 self.heartbeats.forwarder.run, self.leaderless.run,
                 partial(self.watched.keep_current, lambda: self.leader is not None),
@@ -110,7 +110,7 @@
             self.leader = None
             return
         self.leader = Leader(
-            self.settings, term, self.replica, self.state, self.cloud, self.workers, self.owner,
+            self.settings, term, self.replica, self.state, self.cloud, self.workers, self.command_loop,
             self._clock, self._wall, self.peers, self.images,
         )  # fmt: skip
         self.leader.cluster.listener = self.parts.listener(self.leader)
@@ -123,7 +123,7 @@
         self.leadership.check_key()
         leader = self.leader
         if leader is not None and not leader.term.over:
-            self.owner.post(lambda: leader.on_jobs(touched))
+            self.command_loop.enqueue(lambda: leader.on_jobs(touched))
 
     def _settle(self) -> None:
         if self.leader is not None:
--- a/pepperlatch/controller/duty.py
+++ b/pepperlatch/controller/duty.py
@@ -6,8 +6,8 @@
 
 import trio
 
+from pepperlatch.controller.command_loop import CommandLoop
 from pepperlatch.controller.leadership import Term
-from pepperlatch.controller.owner import Owner
 from pepperlatch.controller.store import Replica
 from pepperlatch.controller.writer import Writer
 from pepperlatch.policy.cluster import Cluster
@@ -22,7 +22,7 @@
     settings: Settings
     term: Term
     replica: Replica
-    owner: Owner
+    command_loop: CommandLoop
     clock: Clock
     wall: Clock
     cluster: Cluster
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -81,7 +81,7 @@
             machine.fence_failed = True
             fenced = await self._peers.fence(machine.addr, machine.zone, self._duty.term.token, session)
             executed, report, through_others = fenced.executed, fenced.report, True
-        self._duty.owner.post(lambda: self._fenced(machine, report, sent, through_others))
+        self._duty.command_loop.enqueue(lambda: self._fenced(machine, report, sent, through_others))
         return executed, report
 
     def _fenced(self, machine: Machine, report: Report, sent: float, through_others: bool) -> None:
@@ -226,7 +226,7 @@
         if report is None and (machine.probes + 1 >= c.SILENT_PROBES or machine.seen_at < 0):
             report, heard = await self._peers.inspect(machine.addr, self._reached)
             through_others = report is not None
-        self._duty.owner.post(lambda: self._probed(machine, report, sent, through_others, heard))
+        self._duty.command_loop.enqueue(lambda: self._probed(machine, report, sent, through_others, heard))
 
     def _probed(
         self, machine: Machine, report: Report | None, sent: float, through_others: bool, heard: bool
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -10,11 +10,11 @@
 import trio
 
 from pepperlatch.constants import core as c
+from pepperlatch.controller.command_loop import CommandLoop, Reply
 from pepperlatch.controller.heartbeats.delegation import DelegatedAnswers
 from pepperlatch.controller.heartbeats.forwarding import HeartbeatForwarder
 from pepperlatch.controller.leader import GRANT, HeartbeatAnswer, Leader
 from pepperlatch.controller.leadership import keeps_alive_until
-from pepperlatch.controller.owner import Owner, Reply
 from pepperlatch.controller.store import Replica
 from pepperlatch.policy.cluster import BEGAN
 from pepperlatch.policy.model import split_task
@@ -41,12 +41,12 @@
 
 class HeartbeatHandler:
     def __init__(
-        self, settings: Settings, network: Network, clock: Clock, owner: Owner, replica: Replica,
+        self, settings: Settings, network: Network, clock: Clock, command_loop: CommandLoop, replica: Replica,
         state: StateClient, hold_s: float, leader: Callable[[], Leader | None],
     ) -> None:  # fmt: skip
         self.forwarder = HeartbeatForwarder(network, settings.node)
         self._clock = clock
-        self._owner = owner
+        self._command_loop = command_loop
         self._replica = replica
         self._state = state
         self._hold_s = hold_s
@@ -121,8 +121,8 @@
         """
         leader = self._leader()
         reply: Reply[list[HeartbeatAnswer]] = Reply()
-        if leader is not None and not self._owner.full():
-            self._owner.post(lambda: leader.on_heartbeats(reports, follower, reply))
+        if leader is not None and not self._command_loop.is_full():
+            self._command_loop.enqueue(lambda: leader.on_heartbeats(reports, follower, reply))
             with trio.move_on_after(c.RELAY_S):
                 answers = await reply.get()
                 if answers is not None:
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -10,10 +10,10 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
+from pepperlatch.controller.command_loop import CommandLoop, Reply
 from pepperlatch.controller.duty import Duty
 from pepperlatch.controller.health import Health
 from pepperlatch.controller.leadership import Term, keeps_alive_until
-from pepperlatch.controller.owner import Owner, Reply
 from pepperlatch.controller.peers import Peers
 from pepperlatch.controller.records import Records
 from pepperlatch.controller.rentals import Rentals
@@ -51,7 +51,7 @@
     heartbeats: list[tuple[int, Machine, int]] = field(default_factory=list)
 
     def settle(self) -> None:
-        self.reply.give(self.answers)
+        self.reply.resolve(self.answers)
 
 
 class Leader:
@@ -59,14 +59,14 @@
 
     def __init__(
         self, settings: Settings, term: Term, replica: Replica, state: StateClient, cloud: CloudClient,
-        workers: WorkerClient, owner: Owner, clock: Clock, wall: Clock, peers: Peers, images: ImageMemory,
+        workers: WorkerClient, command_loop: CommandLoop, clock: Clock, wall: Clock, peers: Peers, images: ImageMemory,
     ) -> None:  # fmt: skip
         self.settings = settings
         self.term = term
         self.replica = replica
         self._state = state
         self._workers = workers
-        self.owner = owner
+        self.command_loop = command_loop
         self.clock = clock
         self.wall = wall
         now = clock()
@@ -77,7 +77,7 @@
         self.planner = Planner(self.cluster, Tuning(replica.tuning[0]))
         self._tuning_version = replica.tuning[1]
         self.writer = Writer(state, term, settings.params.state.txn_ops)
-        self._duty = Duty(settings, term, replica, owner, clock, wall, self.cluster, self.planner, self.writer)
+        self._duty = Duty(settings, term, replica, command_loop, clock, wall, self.cluster, self.planner, self.writer)
         self._rentals = Rentals(self._duty, cloud)
         self._records = Records(self._duty, self._rentals.off_hire)
         self._health = Health(self._duty, workers, peers, self._direct_report)
@@ -96,7 +96,7 @@
             fleet_pairs = await self._read_fleet()
             if fleet_pairs is None:
                 return
-            self.owner.post(lambda: self._start(fleet_pairs))
+            self.command_loop.enqueue(lambda: self._start(fleet_pairs))
             for task in (
                 self.writer.run,
                 self._rentals.types_loop,
@@ -268,10 +268,10 @@
         """
         now = self.clock()
         if not self.ready or not self.term.may_answer(now):
-            reply.give(None)
+            reply.resolve(None)
             return
         until = keeps_alive_until(self.term.hold_s, proven_at)
-        reply.give(self.cluster.delegate(follower, statement, until, now))
+        reply.resolve(self.cluster.delegate(follower, statement, until, now))
 
     def _direct_report(self, report: Report, asked_at: float, through_others: bool = False) -> None:
         self.cluster.on_report(
@@ -376,7 +376,7 @@
             executed, pause = False, c.COMMAND_S / 2
         except Lost:
             pause = c.COMMAND_S
-        self.owner.post(lambda: self._commanded(machine, report, sent, launched, executed, pause))
+        self.command_loop.enqueue(lambda: self._commanded(machine, report, sent, launched, executed, pause))
 
     def _commanded(
         self, machine: Machine, report: Report | None, sent: float, launched: list[Any], executed: bool | None,
--- a/pepperlatch/controller/records.py
+++ b/pepperlatch/controller/records.py
@@ -30,7 +30,7 @@
         self._duty.cluster.to_record.clear()
 
     def _recorded(self, name: str, applied: bool) -> None:
-        self._duty.owner.post(lambda: self._now_recorded(name))
+        self._duty.command_loop.enqueue(lambda: self._now_recorded(name))
 
     def _now_recorded(self, name: str) -> None:
         self._duty.cluster.recorded(name, self._duty.clock())
@@ -91,7 +91,7 @@
         tasks = set().union(*(saving.tasks for saving in savings))
 
         def done(applied: bool) -> None:
-            self._duty.owner.post(lambda: self._saved(job, tasks if applied else set()))
+            self._duty.command_loop.enqueue(lambda: self._saved(job, tasks if applied else set()))
 
         self._duty.writer.add(Write(changes, done, when), later=True)
 
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -71,7 +71,7 @@
                 await trio.sleep(c.CLOUD_RETRY_S)
                 continue
             break
-        self._duty.owner.post(lambda: self._hired(name, offer, record.count, names))
+        self._duty.command_loop.enqueue(lambda: self._hired(name, offer, record.count, names))
 
     def _hired(self, hire: str, offer: Offer, count: int, names: list[str] | None) -> None:
         now = self._duty.clock()
@@ -118,7 +118,7 @@
         while not self._duty.term.over:
             try:
                 types = await self._cloud.types()
-                self._duty.owner.post(lambda t=types: self._on_types(t))  # type: ignore[misc]
+                self._duty.command_loop.enqueue(lambda t=types: self._on_types(t))  # type: ignore[misc]
                 await trio.sleep(c.PRICES_EVERY_S)
             except CloudTrouble:
                 await trio.sleep(c.CLOUD_RETRY_S)
@@ -142,7 +142,7 @@
         while not self._duty.term.over:
             try:
                 listed = await self._cloud.machines()
-                self._duty.owner.post(lambda x=listed: self._on_list(x))  # type: ignore[misc]
+                self._duty.command_loop.enqueue(lambda x=listed: self._on_list(x))  # type: ignore[misc]
             except CloudTrouble as error:
                 log.info("machine list: %s", error)
             await trio.sleep(c.CLOUD_LIST_EVERY_S)
@@ -200,7 +200,7 @@
         self._duty.cluster.releasing.update(names)
         try:
             await self._cloud.release(names)
-            self._duty.owner.post(lambda: self._released(names))
+            self._duty.command_loop.enqueue(lambda: self._released(names))
             self._duty.cluster.to_release.difference_update(names)
         except CloudTrouble as error:
             log.info("release: %s", error)
--- a/pepperlatch/policy/events.py
+++ b/pepperlatch/policy/events.py
@@ -1,6 +1,6 @@
 """What a leader tells of what it decided and saw, after the fact and in order. Nobody listens by default.
 
-A listener runs in the owner, between two commands: it must be quick, and changes nothing of what it is shown.
+A listener runs in the command loop, between two commands: it must be quick, and changes nothing of what it is shown.
 """
 
 from typing import Protocol
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from pepperlatch.constants import core as c
-from pepperlatch.controller.owner import Owner
+from pepperlatch.controller.command_loop import CommandLoop
 from pepperlatch.controller.store import Replica
 from pepperlatch.controller.users import Users
 from pepperlatch.policy import fleet, placement, supply
@@ -399,11 +399,11 @@
                 answer = await users.submit(wire_body(900))
             assert answer.status == 503 and "Retry-After" in answer.headers
             nursery.cancel_scope.cancel()
-        owner = Owner(lambda: None, 0.1)
+        command_loop = CommandLoop(lambda: None, 0.1)
         for _ in range(c.QUEUE_MOST):
-            assert not owner.full()
-            owner.post(lambda: None)
-        assert owner.full()
+            assert not command_loop.is_full()
+            command_loop.enqueue(lambda: None)
+        assert command_loop.is_full()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
