--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -11,7 +11,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.constants import zones as z
-from pepperlatch.controller.duty import Duty
+from pepperlatch.controller.leader_task import LeaderTask
 from pepperlatch.controller.peers import Peers
 from pepperlatch.policy.cancellations import Decision, Seen, decide
 from pepperlatch.policy.cluster import SILENT, SILENT_CANCELLED
@@ -41,9 +41,10 @@
 
 class Health:
     def __init__(
-        self, duty: Duty, workers: WorkerClient, peers: Peers, on_report: Callable[[Report, float, bool], None]
+        self, leader_task: LeaderTask, workers: WorkerClient, peers: Peers,
+        on_report: Callable[[Report, float, bool], None],
     ) -> None:  # fmt: skip
-        self._duty = duty
+        self._leader_task = leader_task
         self._workers = workers
         self._peers = peers
         self._on_report = on_report
@@ -58,9 +59,9 @@
         A bounded number at once: hundreds together would miss their deadlines on our share of a core, be
         tried again, and keep the leader from its lease. What does not answer goes to the end of the line.
         """
-        while not self._duty.term.over:
+        while not self._leader_task.term.over:
             async with self._fencing:
-                if machine.name not in self._duty.cluster.unaccounted or self._duty.term.over:
+                if machine.name not in self._leader_task.cluster.unaccounted or self._leader_task.term.over:
                     return
                 with contextlib.suppress(NotSent, Lost):
                     executed, report = await self._show_token(machine, max(1, machine.session))
@@ -72,27 +73,27 @@
 
     async def _show_token(self, machine: Machine, session: int) -> tuple[bool, Report]:
         """Directly, or through another controller if a cut lies between: its reports are passed on then."""
-        through_others, sent = False, self._duty.clock()
+        through_others, sent = False, self._leader_task.clock()
         try:
             executed, report = await self._workers.command(
-                machine.addr, self._duty.term.token, session, [], c.FENCE_TRY_S
+                machine.addr, self._leader_task.term.token, session, [], c.FENCE_TRY_S
             )
         except (NotSent, Lost):
             machine.fence_failed = True
-            fenced = await self._peers.fence(machine.addr, machine.zone, self._duty.term.token, session)
+            fenced = await self._peers.fence(machine.addr, machine.zone, self._leader_task.term.token, session)
             executed, report, through_others = fenced.executed, fenced.report, True
-        self._duty.command_loop.enqueue(lambda: self._fenced(machine, report, sent, through_others))
+        self._leader_task.command_loop.enqueue(lambda: self._fenced(machine, report, sent, through_others))
         return executed, report
 
     def _fenced(self, machine: Machine, report: Report, sent: float, through_others: bool) -> None:
         if through_others:
-            machine.relay_until = self._duty.clock() + c.RELAY_STICKY_S
+            machine.relay_until = self._leader_task.clock() + c.RELAY_STICKY_S
         self._on_report(report, sent, through_others)
 
     # --- silence ----------------------------------------------------------------------------------
 
     def look(self, now: float, sure: bool) -> None:
-        cluster, planner = self._duty.cluster, self._duty.planner
+        cluster, planner = self._leader_task.cluster, self._leader_task.planner
         quiet = self._quiet(now)
         self._look_at_zones(quiet, now)
         silent = [m for m in quiet if m.seen_at >= 0 or m.fence_failed or m.name not in cluster.unaccounted]
@@ -101,7 +102,7 @@
         for machine in self._worth_asking(silent):
             if not machine.probing:
                 machine.probing = True
-                self._duty.spawn(self._probe, machine)
+                self._leader_task.spawn(self._probe, machine)
         zones = {m.zone for m in cluster.machines.values()}
         kept_zones = {zone for zone in zones if planner.zones.kept(zone, now)}
         elsewhere = sum(1 for m in silent if m.zone not in kept_zones)
@@ -122,18 +123,18 @@
             cluster.dirty = True
 
     def _overdue(self, machine: Machine, now: float) -> bool:
-        return now - machine.born > self._duty.cluster.boots.patience_s(machine.type)
+        return now - machine.born > self._leader_task.cluster.boots.patience_s(machine.type)
 
     def _give_up(self, quiet: list[Machine], many: bool, now: float) -> None:
         """Of those that were not heard of for long."""
-        planner = self._duty.planner
+        planner = self._leader_task.planner
         portion = Portion(planner.zones, bool(planner.needs))
         for machine in quiet:
             if self._given_up(machine, many, now) and portion.allows(machine.zone):
-                self._duty.cluster.release(machine, SILENT)
+                self._leader_task.cluster.release(machine, SILENT)
 
     def _look_at_zones(self, quiet: list[Machine], now: float) -> None:
-        cluster, settings = self._duty.cluster, self._duty.settings
+        cluster, settings = self._leader_task.cluster, self._leader_task.settings
         up = Counter(m.zone for m in cluster.machines.values() if m.status is Status.UP)
         lost = Counter(m.zone for m in quiet)
         answers: dict[str, bool] = {settings.zone: True}
@@ -141,14 +142,14 @@
             heard_at = max(cluster.peer_heard.get(peer.node, cluster.started), cluster.started)
             answers[peer.zone] = answers.get(peer.zone, False) or now - heard_at <= z.ANSWER_S
         for zone in settings.params.zones:
-            self._duty.planner.look_at_zone(zone, ZoneSeen(up[zone], lost[zone], answers.get(zone)), now)
+            self._leader_task.planner.look_at_zone(zone, ZoneSeen(up[zone], lost[zone], answers.get(zone)), now)
 
     def _worth_asking(self, silent: list[Machine]) -> list[Machine]:
         """All, but a few only of a zone that is cut off: those that were asked least."""
-        zones, out = self._duty.planner.zones, []
+        zones, out = self._leader_task.planner.zones, []
         cut: dict[str, list[Machine]] = {}
         for machine in silent:
-            if zones.cut(machine.zone) and machine.name not in self._duty.cluster.unaccounted:
+            if zones.cut(machine.zone) and machine.name not in self._leader_task.cluster.unaccounted:
                 cut.setdefault(machine.zone, []).append(machine)
             else:
                 out.append(machine)
@@ -161,7 +162,7 @@
 
         Hundreds are fenced one after the other: one whose turn has not come tells of its zone, but not of itself.
         """
-        cluster, report_s = self._duty.cluster, self._duty.settings.params.workers.report_s
+        cluster, report_s = self._leader_task.cluster, self._leader_task.settings.params.workers.report_s
         least_s = min(c.FENCE_SILENT_S, c.SILENT_REPORTS * report_s)
         out = []
         for machine in cluster.machines.values():
@@ -179,18 +180,20 @@
         While no other controller can be asked, a cut looks like a dead machine: then only the end of its
         lease decides, after which nothing runs there any more.
         """
-        if now - max(machine.seen_at, self._duty.cluster.started) > c.SILENT_LONG_S:
+        if now - max(machine.seen_at, self._leader_task.cluster.started) > c.SILENT_LONG_S:
             return True
         fenced = machine.seen_at < 0  # two tries to fence it came before
         asked = machine.probes >= (1 if fenced else c.SILENT_PROBES)
-        return not many and (asked or (machine.probes_unheard > 0 and self._duty.cluster.lease_over(machine, now)))
+        return not many and (
+            asked or (machine.probes_unheard > 0 and self._leader_task.cluster.lease_over(machine, now))
+        )
 
     def _return_cancelled(self, quiet: list[Machine], kept_zones: set[str], sure: bool, now: float) -> None:
         """Silent machines that may hold a cancelled task are returned in time, however many are silent.
 
         Also those whose return was decided for another reason, and may not be sent while the lease is unsure.
         """
-        cluster, workers = self._duty.cluster, self._duty.settings.params.workers
+        cluster, workers = self._leader_task.cluster, self._leader_task.settings.params.workers
         seen = Seen(cluster.started, sure, self._heard_at(), kept_zones)
         departed_since = cluster.departed_since(now)
         leaving = [cluster.machines[name] for name in cluster.to_release if name in cluster.machines]
@@ -204,8 +207,8 @@
 
     def _heard_at(self) -> float:
         """When a machine or another controller was last heard of."""
-        machines = (machine.reached_at for machine in self._duty.cluster.machines.values())
-        return max([*machines, *self._duty.cluster.peer_heard.values()], default=-math.inf)
+        machines = (machine.reached_at for machine in self._leader_task.cluster.machines.values())
+        return max([*machines, *self._leader_task.cluster.peer_heard.values()], default=-math.inf)
 
     def _log_kept(self, machine: Machine, since: float, decision: Decision, now: float) -> None:
         """Say what is decided of a machine that may hold a cancelled task: once, and when that changes."""
@@ -219,21 +222,21 @@
 
     async def _probe(self, machine: Machine) -> None:
         report: Report | None = None
-        sent = self._duty.clock()
+        sent = self._leader_task.clock()
         with contextlib.suppress(NotSent, Lost):
             report = await self._workers.inspect(machine.addr)
         through_others, heard = False, True
         if report is None and (machine.probes + 1 >= c.SILENT_PROBES or machine.seen_at < 0):
             report, heard = await self._peers.inspect(machine.addr, self._reached)
             through_others = report is not None
-        self._duty.command_loop.enqueue(lambda: self._probed(machine, report, sent, through_others, heard))
+        self._leader_task.command_loop.enqueue(lambda: self._probed(machine, report, sent, through_others, heard))
 
     def _probed(
         self, machine: Machine, report: Report | None, sent: float, through_others: bool, heard: bool
     ) -> None:  # fmt: skip
         machine.probing = False
         if through_others:  # its reports are passed on, see Cluster.relayed
-            machine.relay_until = self._duty.clock() + c.RELAY_STICKY_S
+            machine.relay_until = self._leader_task.clock() + c.RELAY_STICKY_S
         machine.probes += heard
         machine.probes_unheard += not heard
         if report is not None:
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -11,8 +11,8 @@
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
 from pepperlatch.controller.command_loop import CommandLoop, Reply
-from pepperlatch.controller.duty import Duty
 from pepperlatch.controller.health import Health
+from pepperlatch.controller.leader_task import LeaderTask
 from pepperlatch.controller.leadership import Term, keeps_alive_until
 from pepperlatch.controller.peers import Peers
 from pepperlatch.controller.records import Records
@@ -77,10 +77,12 @@
         self.planner = Planner(self.cluster, Tuning(replica.tuning[0]))
         self._tuning_version = replica.tuning[1]
         self.writer = Writer(state, term, settings.params.state.txn_ops)
-        self._duty = Duty(settings, term, replica, command_loop, clock, wall, self.cluster, self.planner, self.writer)
-        self._rentals = Rentals(self._duty, cloud)
-        self._records = Records(self._duty, self._rentals.off_hire)
-        self._health = Health(self._duty, workers, peers, self._direct_report)
+        self._leader_task = LeaderTask(
+            settings, term, replica, command_loop, clock, wall, self.cluster, self.planner, self.writer
+        )
+        self._rentals = Rentals(self._leader_task, cloud)
+        self._records = Records(self._leader_task, self._rentals.off_hire)
+        self._health = Health(self._leader_task, workers, peers, self._direct_report)
         self.ready = False
         self._heartbeats: list[_Waiting] = []
         self._rented_at = 0.0
@@ -92,7 +94,7 @@
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
-            self._duty.nursery = nursery
+            self._leader_task.nursery = nursery
             fleet_pairs = await self._read_fleet()
             if fleet_pairs is None:
                 return
@@ -159,7 +161,7 @@
         machine.listed = True
         self.cluster.machines[name] = machine
         self.cluster.unaccounted.add(name)
-        self._duty.spawn(self._health.fence, machine)
+        self._leader_task.spawn(self._health.fence, machine)
 
     # --- jobs -------------------------------------------------------------------------------------
 
@@ -363,7 +365,7 @@
             orders, launched = self.cluster.orders_direct(machine, now)
             if orders or machine.unheard >= c.UNHEARD_MOST:  # without orders it tells whether it hears us again
                 machine.sending = True
-                self._duty.spawn(self._command, machine, machine.session, orders, launched)
+                self._leader_task.spawn(self._command, machine, machine.session, orders, launched)
 
     async def _command(self, machine: Machine, session: int, orders: list[dict[str, Any]], launched: list[Any]) -> None:
         """`session`: the one the orders were made for. A later one must refuse them: what they launch was given up."""
--- a/pepperlatch/controller/duty.py
+++ b/pepperlatch/controller/leader_task.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Duty:
+class LeaderTask:
     settings: Settings
     term: Term
     replica: Replica
--- a/tests/cuts/test_sessions.py
+++ b/tests/cuts/test_sessions.py
@@ -163,15 +163,15 @@
         await trio.sleep(7)
         leader = world.nodes[world.leader()].leader
         assert leader is not None
-        begun, nursery = Begun([]), leader._duty.nursery
-        leader._duty.nursery = begun  # type: ignore[assignment]
+        begun, nursery = Begun([]), leader._leader_task.nursery
+        leader._leader_task.nursery = begun  # type: ignore[assignment]
         sweep = job(1, pieces=1)
         await world.submit(sweep)
         await world.until(lambda: bool(begun.calls), 5)
         home.tasks.clear()
         home.tenure += 1
         leader._direct_report(wire.convert(home.report(), Report), trio.current_time())
-        leader._duty.nursery = nursery
+        leader._leader_task.nursery = nursery
         for task, *args in begun.calls:
             await task(*args)
         assert not home.tasks, "the launch was meant for the session before"
