--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -213,7 +213,7 @@
 
     async def _passed_on(self, path: str, text: str) -> Response:
         """The leader's answer; if there is none, what this node knows itself, and how old that is."""
-        held = self._core.watched.replica.leader
+        held = self._core.watcher.replica.leader
         peer = next((p for p in self._core.settings.peers if held is not None and p.node == held[0]), None)
         why = "nobody leads"
         if peer is not None:
@@ -232,7 +232,7 @@
 
     def _of_records(self, path: str, text: str, why: str) -> Response:
         """Jobs as the records say, with what the leader last told of them."""
-        core, replica = self._core, self._core.watched.replica
+        core, replica = self._core, self._core.watcher.replica
         if path not in (f"{BASE}/jobs", f"{BASE}/overview"):
             return Response(503, {"error": f"only the leader knows that, and {why}"}, {"Retry-After": "2"})
         told, wall = core.told(), core.wall()
--- a/pepperlatch/controller/admin.py
+++ b/pepperlatch/controller/admin.py
@@ -8,7 +8,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
-from pepperlatch.controller.store import Watched
+from pepperlatch.controller.store import StateWatcher
 from pepperlatch.policy.tuning import KNOBS, BadValue, Tuning, checked
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
@@ -26,8 +26,8 @@
 
 
 class Admin:
-    def __init__(self, watched: Watched, state: StateClient, view: Callable[[], dict[str, Any]]) -> None:
-        self._watched = watched
+    def __init__(self, watcher: StateWatcher, state: StateClient, view: Callable[[], dict[str, Any]]) -> None:
+        self._watcher = watcher
         self._state = state
         self._view = view
 
@@ -42,7 +42,7 @@
             if request.path == VIEW and request.method == "GET":
                 return Response(200, self._view())
             if request.path == SETTINGS and request.method == "GET":
-                await self._watched.sync()
+                await self._watcher.sync()
                 return Response(200, self._describe())
             if request.path == SETTINGS and request.method == "PUT":
                 return await self._change(request.body)
@@ -51,7 +51,7 @@
         return Response(404, {"error": "no such path"})
 
     def _describe(self) -> dict[str, Any]:
-        stored, version = self._watched.replica.tuning
+        stored, version = self._watcher.replica.tuning
         now = Tuning(stored).values()
         fields = {
             name: {
@@ -79,8 +79,8 @@
             values = {name: checked(name, value) for name, value in changes.items()}
         except BadValue as error:
             return Response(400, {"error": str(error), "field": str(error).partition(":")[0]})
-        await self._watched.sync()
-        stored, current = self._watched.replica.tuning
+        await self._watcher.sync()
+        stored, current = self._watcher.replica.tuning
         if version != current:
             return Response(409, {"error": "stale version", "version": current})
         outcome = await self._state.txn(
@@ -88,5 +88,5 @@
         )
         if not outcome.applied:
             return Response(409, {"error": "stale version"})
-        await self._watched.sync()
+        await self._watcher.sync()
         return Response(200, self._describe())
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -22,7 +22,7 @@
 from pepperlatch.controller.leadership import Leadership, Term, hold_seconds
 from pepperlatch.controller.parts import Core, Part, Parts, Told
 from pepperlatch.controller.peers import PEER_FENCE, PEER_INSPECT, Peers
-from pepperlatch.controller.store import Replica, Watched
+from pepperlatch.controller.store import Replica, StateWatcher
 from pepperlatch.controller.users import Progress, Users
 from pepperlatch.controller.vouching import PEER_CANCELLED, PEER_VOUCH, Vouching
 from pepperlatch.policy.images import ImageMemory
@@ -61,18 +61,18 @@
         self.workers = WorkerClient(network)
         self.peers = Peers(settings, network, self.workers)
         self.replica = Replica()
-        self.watched = Watched(self.state, self.replica, self._changed)
+        self.watcher = StateWatcher(self.state, self.replica, self._changed)
         hold_s = hold_seconds(params.workers.cancel_s, params.workers.lease_s)
         self.leadership = Leadership(settings.node, self.state, self.replica, hold_s, clock, seed)
-        self.vouching = Vouching(network, settings.peers, self.watched, self.leadership, clock)
+        self.vouching = Vouching(network, settings.peers, self.watcher, self.leadership, clock)
         self.command_loop = CommandLoop(self._settle, c.TICK_S / 5)
         self.heartbeats = HeartbeatHandler(
             settings, network, clock, self.command_loop, self.replica, self.state, hold_s, lambda: self.leader
         )
-        self.users = Users(settings, self.watched, self.state, wall, self._progress, self.vouching.tell)
-        self.admin = Admin(self.watched, self.state, self.view)
+        self.users = Users(settings, self.watcher, self.state, wall, self._progress, self.vouching.tell)
+        self.admin = Admin(self.watcher, self.state, self.view)
         core = Core(
-            settings, self.users, self.watched, self.state, wall, clock, network, lambda: self.leader,
+            settings, self.users, self.watcher, self.state, wall, clock, network, lambda: self.leader,
             lambda: Told(self.heartbeats.contact.at, self._progress),
         )  # fmt: skip
         self.parts = Parts([part(core) for part in parts])
@@ -95,10 +95,10 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             loops = (
-                self.command_loop.run, self.watched.watch, self.watched.serve_syncs, self.users.create_loop,
+                self.command_loop.run, self.watcher.watch, self.watcher.serve_syncs, self.users.create_loop,
                 self.contacts.run, self._health_loop, self._homes_loop, self._types_loop, self.parts.run,
                 self.heartbeats.forwarder.run, self.leaderless.run,
-                partial(self.watched.keep_current, lambda: self.leader is not None),
+                partial(self.watcher.keep_current, lambda: self.leader is not None),
             )  # fmt: skip
             for loop in loops:
                 nursery.start_soon(loop)
--- a/pepperlatch/controller/parts.py
+++ b/pepperlatch/controller/parts.py
@@ -17,7 +17,7 @@
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
 from pepperlatch.controller.leadership import Term
-from pepperlatch.controller.store import Watched
+from pepperlatch.controller.store import StateWatcher
 from pepperlatch.controller.users import Progress, Users
 from pepperlatch.policy.events import Listener, Nobody
 from pepperlatch.policy.model import Attempt, Job, Machine
@@ -46,7 +46,7 @@
 
     settings: Settings
     users: Users
-    watched: Watched
+    watcher: StateWatcher
     state: StateClient
     wall: Callable[[], float]
     clock: Callable[[], float]
--- a/pepperlatch/controller/store.py
+++ b/pepperlatch/controller/store.py
@@ -428,7 +428,7 @@
     good: bool = False
 
 
-class Watched:
+class StateWatcher:
     """Keeps the replica current, and answers reads that must not be older than their question."""
 
     def __init__(self, state: StateClient, replica: Replica, on_change: Callable[[set[str]], None]) -> None:
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -12,7 +12,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
-from pepperlatch.controller.store import Entry, Replica, Watched
+from pepperlatch.controller.store import Entry, Replica, StateWatcher
 from pepperlatch.policy import reasons
 from pepperlatch.policy.model import fits_type
 from pepperlatch.policy.quota import beyond_limit
@@ -130,12 +130,12 @@
 
 class Users:
     def __init__(
-        self, settings: Settings, watched: Watched, state: StateClient, wall: Callable[[], float],
+        self, settings: Settings, watcher: StateWatcher, state: StateClient, wall: Callable[[], float],
         progress: Callable[[str], Progress | None], tell: Tell = nobody,
     ) -> None:  # fmt: skip
         self._settings = settings
-        self._watched = watched
-        self._replica: Replica = watched.replica
+        self._watcher = watcher
+        self._replica: Replica = watcher.replica
         self._state = state
         self._wall = wall
         self._progress = progress
@@ -191,7 +191,7 @@
         """What is wrong with the jobs named; only a current reading may say that one was never accepted."""
         needs = spec.needs or []
         if any(name not in self._replica.jobs for name in needs):
-            await self._watched.sync()
+            await self._watcher.sync()
         for name in needs:
             entry = self._replica.jobs.get(name)
             if entry is None:
@@ -223,7 +223,7 @@
         assert isinstance(job_id, str)
         entry = self._replica.jobs.get(job_id)
         if entry is None or entry.state not in wire.FINAL:
-            await self._watched.sync()
+            await self._watcher.sync()
             entry = self._replica.jobs.get(job_id)
         return Response(200, self.describe(job_id, entry)) if entry is not None else None
 
@@ -340,7 +340,7 @@
             return Response(404, {"error": "no such job"})
         with trio.move_on_after(c.SUBMIT_WAIT_S):
             while True:
-                await self._watched.sync()
+                await self._watcher.sync()
                 entry = self._replica.jobs.get(job_id)
                 if entry is None:
                     return Response(404, {"error": "no such job"})
@@ -350,7 +350,7 @@
                 key = store.JOB + job_id
                 outcome = await self._state.txn([wire.when(key, entry.version)], [wire.put(key, wire.to_plain(record))])
                 if outcome.applied:  # known here before its user is told: others vouch by what this node knows
-                    self._watched.learn([(job_id, record, outcome.revision)])
+                    self._watcher.learn([(job_id, record, outcome.revision)])
                     await self._tell(job_id, record, outcome.revision)
                     return Response(200, wire.job_answer(job_id, JobState.CANCELLED))
         return later()
--- a/pepperlatch/controller/vouching.py
+++ b/pepperlatch/controller/vouching.py
@@ -49,13 +49,13 @@
 
 class Vouching:
     def __init__(
-        self, network: Network, peers: list[Peer], watched: store.Watched, leadership: Leadership,
+        self, network: Network, peers: list[Peer], watcher: store.StateWatcher, leadership: Leadership,
         clock: Callable[[], float],
     ) -> None:  # fmt: skip
         self._network = network
         self._peers = peers
-        self._watched = watched
-        self._replica = watched.replica
+        self._watcher = watcher
+        self._replica = watcher.replica
         self._leadership = leadership
         self._clock = clock
 
@@ -93,7 +93,7 @@
             return Response(400, {"error": str(error)})
         if not store.is_job_id(row.id) or record.state != wire.JobState.CANCELLED.value:
             return Response(400, {"error": "wanted: a job that is cancelled"})
-        self._watched.learn([(row.id, record, row.version)])
+        self._watcher.learn([(row.id, record, row.version)])
         return Response(200, {})
 
     # --- asking -----------------------------------------------------------------------------------
@@ -110,7 +110,7 @@
                 if statement is None:
                     return
                 rows = statement.cancelled
-                self._watched.learn([(row.id, row.record, row.version) for row in rows])
+                self._watcher.learn([(row.id, row.record, row.version) for row in rows])
                 if not statement.more or not rows or rows[-1].version <= revision:
                     statements.append(statement)
                     return
--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -194,7 +194,7 @@
         held = await self._read(address)
         if held is None:
             return Response(404, {"error": "no such run"})
-        await self._core.watched.sync()
+        await self._core.watcher.sync()
         names = list(held.specs)
         begin = int(after) if after.isdigit() else 0
         rows = [self._row(held, name) for name in names[begin : begin + c.STEPS_PAGE]]
@@ -209,7 +209,7 @@
 
     def _row(self, held: Held, name: str) -> dict[str, Any]:
         spec = held.specs[name]
-        entry = self._core.watched.replica.jobs.get(spec.id)
+        entry = self._core.watcher.replica.jobs.get(spec.id)
         if entry is None:
             return {"step": name, wire.ID_FIELD: spec.id, "status": "not sent", "tasks": spec.tasks}
         return {"step": name, "tasks": spec.tasks, **self._core.users.describe(spec.id, entry)}
@@ -218,7 +218,7 @@
         """One word for the whole: the phase while it is not sent, else what its jobs say together."""
         if held.run.phase is not Phase.SENT:
             return str(held.run.phase.value)
-        jobs = self._core.watched.replica.jobs
+        jobs = self._core.watcher.replica.jobs
         states = [jobs[spec.id].state for spec in held.specs.values() if spec.id in jobs]
         if any(state is wire.JobState.CANCELLED for state in states):
             return str(wire.JobState.CANCELLED.value)
@@ -251,7 +251,7 @@
             said = [f"no step is called {name!r}{plans.meant(name, held.specs)}" for name in unknown]
             return Response(400, {"error": "; ".join(said) or "no step is named"})
         plan = plans.redone(held.plan, first)
-        await self._core.watched.sync()
+        await self._core.watcher.sync()
         wrong = [] if await self._read(plan.address) else self._not_again(held, plan)
         if wrong:
             return Response(409, {"error": "cannot be run again so", "problems": wrong[: c.ERRORS_SHOWN]})
@@ -263,7 +263,7 @@
         found = []
         for step in plan.steps:
             spec = held.specs[step.name]
-            entry = self._core.watched.replica.jobs.get(spec.id)
+            entry = self._core.watcher.replica.jobs.get(spec.id)
             state = entry.state if entry is not None else wire.JobState.CANCELLED
             if step.attempt < plan.attempt:
                 wrong = "is withdrawn; run it again too" if state is wire.JobState.CANCELLED else ""
@@ -339,13 +339,13 @@
 
     async def _send(self, held: Held) -> None:
         """Create what is missing, then call it sent. Returns early if somebody else moved the run."""
-        await self._core.watched.sync()
+        await self._core.watcher.sync()
         present: set[str] = set()
         while True:
             async with self._turn:
                 # What is missing is looked at last: another node may have brought the run on while this one waited.
                 await self.room(self._state.later_most())
-                present |= {spec.id for spec in held.specs.values() if spec.id in self._core.watched.replica.jobs}
+                present |= {spec.id for spec in held.specs.values() if spec.id in self._core.watcher.replica.jobs}
                 missing = [spec for spec in held.specs.values() if spec.id not in present]
                 if not missing:
                     break
@@ -375,9 +375,9 @@
 
     async def _withdraw(self, held: Held) -> None:
         """Cancel its jobs in order, those that need another go with it; a refused run takes only its own along."""
-        await self._core.watched.sync()
+        await self._core.watcher.sync()
         for spec in held.specs.values():
-            entry = self._core.watched.replica.jobs.get(spec.id)
+            entry = self._core.watcher.replica.jobs.get(spec.id)
             if entry is None or entry.state in wire.FINAL:
                 continue
             if held.run.phase is Phase.REFUSING and entry.record.run != held.address:
--- a/tests/meetings/test_vouching.py
+++ b/tests/meetings/test_vouching.py
@@ -171,10 +171,10 @@
         question = type("Asked", (), {"token": 1, "revision": node.replica.revision})
         assert node.vouching._statement(question).whole  # type: ignore[arg-type]
         rows = [(f"run-{n:06d}", {"state": "withdrawn"}, 10_000 + n) for n in range(c.VOUCH_MOST)]
-        node.watched.learn(rows)
+        node.watcher.learn(rows)
         told = node.vouching._statement(question)  # type: ignore[arg-type]
         assert told.whole and len(told.cancelled) == c.VOUCH_MOST
-        node.watched.learn([("run-999999", {"state": "withdrawn"}, 20_000)])
+        node.watcher.learn([("run-999999", {"state": "withdrawn"}, 20_000)])
         told = node.vouching._statement(question)  # type: ignore[arg-type]
         assert (told.whole, told.more, len(told.cancelled)) == (False, True, c.VOUCH_MOST)
         question.revision = told.cancelled[-1].version  # type: ignore[attr-defined]
@@ -182,7 +182,7 @@
         assert (told.whole, [row.id for row in told.cancelled]) == (True, ["run-999999"])
         question.revision = node.replica.revision  # type: ignore[attr-defined]
         for n in range(c.VOUCH_KEPT):
-            node.watched.learn([(f"run-{5000 + n:06d}", {"state": "withdrawn"}, 30_000 + n)])
+            node.watcher.learn([(f"run-{5000 + n:06d}", {"state": "withdrawn"}, 30_000 + n)])
         assert not node.vouching._statement(question).whole  # type: ignore[arg-type]
         assert node.replica.cancelled_since(question.revision) is None  # type: ignore[attr-defined]
         assert node.replica.cancelled_since(30_000) is not None
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -385,11 +385,11 @@
 
 def test_what_cannot_be_taken_in_time_is_answered_at_once() -> None:
     async def main() -> None:
-        class Watched:
+        class StateWatcher:
             replica = Replica()
 
         state = SlowState()
-        users = Users(settings_of(0), Watched(), state, lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
+        users = Users(settings_of(0), StateWatcher(), state, lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
         users.types = [machine("m").type]
         async with trio.open_nursery() as nursery:
             for number in range(state.share):
@@ -428,10 +428,10 @@
 
 def test_one_slow_transaction_holds_up_no_other_submission() -> None:
     async def main() -> None:
-        class Watched:
+        class StateWatcher:
             replica = Replica()
 
-        users = Users(settings_of(0), Watched(), SlowState(), lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
+        users = Users(settings_of(0), StateWatcher(), SlowState(), lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
         users.types = [machine("m").type]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(users.create_loop)
