--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -15,7 +15,7 @@
 from pepperlatch.console.recorder import Recorder
 from pepperlatch.console.rows import JobRow, Query, plain
 from pepperlatch.constants import console as c
-from pepperlatch.controller.store import Entry, Replica
+from pepperlatch.controller.store import JobEntry, Replica
 from pepperlatch.controller.users import Progress, standing_reason
 from pepperlatch.policy.model import Job, Machine, Status
 from pepperlatch.policy.reasons import PLACING, Reason, Why
@@ -57,7 +57,7 @@
         now, at = self.leader.clock(), self.leader.wall() - self.leader.clock()
         dirty = self.recorder.dirty
         if dirty is None:
-            dirty = set(self.leader.replica.chain.unfinished())
+            dirty = set(self.leader.replica.prerequisites.unfinished())
             self.recorder.dirty = dirty
         revision, later = self.revision + 1, set()
         for job_id in [dirty.pop() for _ in range(min(most, len(dirty)))]:
@@ -275,7 +275,12 @@
 
 
 def of_record(
-    job_id: str, entry: Entry, replica: Replica, wall: float, held: JobRow | None = None, told: Progress | None = None
+    job_id: str,
+    entry: JobEntry,
+    replica: Replica,
+    wall: float,
+    held: JobRow | None = None,
+    told: Progress | None = None,
 ) -> JobRow | None:
     """A job that the leader does not work on, from its record alone: it waits for others, or is over.
 
--- a/pepperlatch/console/saving.py
+++ b/pepperlatch/console/saving.py
@@ -90,7 +90,7 @@
         unfinished = [job_id for job_id, job in self._leader.cluster.jobs.items() if not job.over]
         most = self._pieces * self._piece * 3 // 4
         packed = self._recorder.history.pack(self._core.wall(), most, unfinished)
-        texts = store.cut(base64.b64encode(packed).decode("ascii"), self._piece)
+        texts = store.split_text(base64.b64encode(packed).decode("ascii"), self._piece)
         slot = (self._first_slot + self._number) % c.SAVE_SLOTS
         for n, text in enumerate(texts):
             piece = Piece(self._leader.term.token, self._number, len(texts), text)
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -136,7 +136,7 @@
                 self.writer.turn = pair.version
             elif pair.key.startswith(store.MACHINE):
                 self._load_machine(pair.key[len(store.MACHINE) :], wire.convert(pair.value, store.MachineRecord), now)
-        for job_id in self.replica.cancelled_lately(now - self.settings.params.workers.cancel_s):
+        for job_id in self.replica.cancelled_recently(now - self.settings.params.workers.cancel_s):
             spec = self.replica.jobs[job_id].record.spec
             if spec is not None:
                 cluster.depart(spec, spec.tasks - len(self.replica.done_tasks(job_id)), now)
@@ -175,12 +175,12 @@
         By this node's own readings, else by the time of day in the record. If neither can tell it may be so long ago
         that a machine which may still hold a task of it has to be returned at once.
         """
-        cancelled = self.replica.cancelled_by(job_id)
+        cancelled = self.replica.cancelling_job(job_id)
         if cancelled is None:
             return math.inf
-        told_after = self.replica.told_after(cancelled)
-        if told_after is not None:
-            return told_after
+        cancellation_not_before = self.replica.cancellation_not_before(cancelled)
+        if cancellation_not_before is not None:
+            return cancellation_not_before
         off_s = 2 * self.settings.params.clock_off_ms / 1000  # the writer's clock and ours
         ago_s = self.wall() - self.replica.jobs[cancelled].record.ended + off_s
         unknown_s = return_after_s(self.settings.params.workers)
@@ -193,12 +193,14 @@
     def _add_job(self, job_id: str) -> None:
         """Only a job that is ready becomes known to the planner: what waits holds no part of anything."""
         entry = self.replica.jobs[job_id]
-        spec, chain = entry.record.spec, self.replica.chain
+        spec, prerequisites = entry.record.spec, self.replica.prerequisites
         if spec is None or not self.replica.ready(job_id):
             self.cluster.listener.job(job_id, "waits", self.clock())
             return
-        since = self.clock() - max(0.0, self.wall() - chain.ready_at(job_id, entry.record.at))
-        newest = max([entry.version, *(self.replica.jobs[name].version for name in chain.needs.get(job_id, ()))])
+        since = self.clock() - max(0.0, self.wall() - prerequisites.ready_at(job_id, entry.record.at))
+        newest = max(
+            [entry.version, *(self.replica.jobs[name].version for name in prerequisites.needs.get(job_id, ()))]
+        )
         job = self.cluster.add_job(spec, entry.version, since, self.replica.done_tasks(job_id))
         job.old = newest <= self.term.token
         self._stand(job_id)
@@ -211,7 +213,7 @@
 
     def _stand(self, job_id: str) -> None:
         """A job works with the rank and the due time of whatever needs it, if those are stronger than its own."""
-        job, standing = self.cluster.jobs.get(job_id), self.replica.chain.standing(job_id)
+        job, standing = self.cluster.jobs.get(job_id), self.replica.prerequisites.standing(job_id)
         if job is None or standing is None:
             return
         due_at = self.clock() + standing.due - self.wall() if standing.due < math.inf else None
@@ -235,7 +237,7 @@
                 self._add_job(job_id)
             else:
                 known.version = entry.version
-        for job_id in self.replica.chain.before(touched):
+        for job_id in self.replica.prerequisites.before(touched):
             self._stand(job_id)
         if self.replica.tuning[1] != self._tuning_version:
             self._tuning_version = self.replica.tuning[1]
--- a/pepperlatch/controller/records.py
+++ b/pepperlatch/controller/records.py
@@ -70,7 +70,7 @@
     def tidy(self, job_id: str) -> None:
         """What was kept of a job that is over goes in portions, after its final state is stored and never before."""
         if job_id not in self._tidied:
-            keys = self._leader_task.replica.leftovers(job_id)
+            keys = self._leader_task.replica.leftover_keys(job_id)
             if keys:
                 self._tidied.add(job_id)
             for key in keys:
@@ -84,7 +84,7 @@
         job.finishing = True
         limits = self._leader_task.settings.params.state
         replica = self._leader_task.replica
-        savings = store.savings(replica, job.spec.id, job.done, job.saved, limits.value_kb)
+        savings = store.done_task_writes(replica, job.spec.id, job.done, job.saved, limits.value_kb)
         savings = savings[: self._leader_task.writer.later_most()]
         when = [wire.when(saving.key, saving.version) for saving in savings]
         changes = [wire.put(saving.key, saving.value) for saving in savings]
--- a/pepperlatch/controller/store.py
+++ b/pepperlatch/controller/store.py
@@ -33,7 +33,7 @@
 TUNING = "j/tuning"
 JOB = "j/job/"
 DONE = "j/done/"
-FINE = "j/fine/"
+DONE_FINE = "j/fine/"
 PART = "j/part/"
 FLEET = "f/"
 TURN = "f/turn"
@@ -83,7 +83,7 @@
     after: float  # no user was told before then: this node's copy was current and did not show it
 
 
-class Entry(msgspec.Struct, gc=False):
+class JobEntry(msgspec.Struct, gc=False):
     """A watched job: its record, the version of its key, and the cancelled job (itself, too) that ends it, if any."""
 
     record: JobRecord
@@ -103,11 +103,11 @@
     revision: int = 0
     loaded: bool = False
     current_at: float = -math.inf  # it holds all that was confirmed before: when the read that proved that was sent
-    jobs: dict[str, Entry] = field(default_factory=dict)
+    jobs: dict[str, JobEntry] = field(default_factory=dict)
     done: dict[str, dict[int, tuple[bytes, int]]] = field(default_factory=dict)  # chunks, as every version writes them
-    fine: dict[str, dict[int, tuple[bytes, int]]] = field(default_factory=dict)  # finer ones, for small values
+    done_fine: dict[str, dict[int, tuple[bytes, int]]] = field(default_factory=dict)  # finer ones, for small values
     parts: dict[str, dict[int, str]] = field(default_factory=dict)  # of long descriptions
-    chain: Prerequisites = field(default_factory=Prerequisites)
+    prerequisites: Prerequisites = field(default_factory=Prerequisites)
     leader: tuple[str, int] | None = None
     type_pieces: dict[int, list[wire.MachineType]] = field(default_factory=dict)
     tuning: tuple[dict[str, Any], int] = field(default_factory=lambda: ({}, 0))
@@ -127,7 +127,7 @@
         touched: set[str] = set()
         if self.leader is not None and LEADER not in present:
             self.leader = None
-        for held, prefix in ((self.done, DONE), (self.fine, FINE), (self.parts, PART)):
+        for held, prefix in ((self.done, DONE), (self.done_fine, DONE_FINE), (self.parts, PART)):
             for job_id in [job for job in held if not any(f"{prefix}{job}/{n}" in present for n in held[job])]:
                 del held[job_id]
         for pair in pairs:
@@ -163,9 +163,9 @@
         if key.startswith(DONE):
             job_id, chunk = _numbered(key, DONE)
             self.done.setdefault(job_id, {})[chunk] = (base64.b64decode(value["bits"]), version)
-        elif key.startswith(FINE):
-            job_id, chunk = _numbered(key, FINE)
-            self.fine.setdefault(job_id, {})[chunk] = (base64.b64decode(value["bits"]), version)
+        elif key.startswith(DONE_FINE):
+            job_id, chunk = _numbered(key, DONE_FINE)
+            self.done_fine.setdefault(job_id, {})[chunk] = (base64.b64decode(value["bits"]), version)
         elif key == LEADER:
             self.leader = (value["node"], version)
         elif key == TYPES or key.startswith(TYPES + "/"):
@@ -182,7 +182,7 @@
         record = value if isinstance(value, JobRecord) else wire.convert(value, JobRecord)
         if record.state == wire.JobState.CANCELLED.value:
             self._remember_cancelled(Cancellation(version, job_id, at, self.current_at))
-        self.jobs[job_id] = Entry(record, version, self.chain.through.get(job_id))
+        self.jobs[job_id] = JobEntry(record, version, self.prerequisites.through.get(job_id))
         touched = self._job_changed(job_id)
         if record.state == wire.JobState.DONE.value and record.spec is None:
             # There are more of these than of anything else, and what they say is mostly the same; when each was done
@@ -205,17 +205,19 @@
         entry = self.jobs[job_id]
         record = entry.record
         if record.spec is None and record.parts:
-            record.spec = joined(self.parts.get(job_id, {}), record.parts)
+            record.spec = joined_description(self.parts.get(job_id, {}), record.parts)
         if entry.state is wire.JobState.DONE:
-            return {job_id} | self.chain.finish(job_id, record.ended)
+            return {job_id} | self.prerequisites.finish(job_id, record.ended)
         if record.state == wire.JobState.CANCELLED.value:
-            over = self.chain.cancel(job_id, job_id)
+            over = self.prerequisites.cancel(job_id, job_id)
         elif record.spec is not None:
-            over = self.chain.add(job_id, record.spec.needs or (), _own(record.spec, record.at), record.spec.estimate_s)
+            over = self.prerequisites.add(
+                job_id, record.spec.needs or (), _own(record.spec, record.at), record.spec.estimate_s
+            )
         else:
             return {job_id}
         for name in over:
-            self.jobs[name].through = self.chain.through[name]
+            self.jobs[name].through = self.prerequisites.through[name]
         return {job_id} | over
 
     def _delete(self, key: str, version: int) -> None:
@@ -225,7 +227,7 @@
             self.leader = None
             self._versions[key] = version
             return
-        for held, prefix in ((self.done, DONE), (self.fine, FINE), (self.parts, PART)):
+        for held, prefix in ((self.done, DONE), (self.done_fine, DONE_FINE), (self.parts, PART)):
             if key.startswith(prefix):
                 job_id, number = _numbered(key, prefix)
                 held.get(job_id, {}).pop(number, None)
@@ -244,7 +246,7 @@
             return None
         return sorted((known.version, known.job_id) for known in self._cancelled if known.version > revision)
 
-    def cancelled_lately(self, since: float) -> list[str]:
+    def cancelled_recently(self, since: float) -> list[str]:
         """All jobs that may have been cancelled since then, i.e. were learned of since.
 
         If that is not kept so far back, all that ever were.
@@ -254,14 +256,14 @@
             return [job_id for job_id, entry in self.jobs.items() if entry.record.state == over]
         return list(dict.fromkeys(known.job_id for known in self._cancelled if known.learned_at >= since))
 
-    def cancelled_by(self, job_id: str) -> str | None:
+    def cancelling_job(self, job_id: str) -> str | None:
         """The cancelled job, itself or one that it needs, that ends the job; None if it is not cancelled."""
         entry = self.jobs.get(job_id)
         if entry is None or entry.state is not wire.JobState.CANCELLED:
             return None
         return entry.through or job_id
 
-    def told_after(self, job_id: str) -> float | None:
+    def cancellation_not_before(self, job_id: str) -> float | None:
         """No user was told before then that this job was cancelled; None if this node's readings cannot tell.
 
         They cannot if it was cancelled before this node began, or so many jobs ago that it is not remembered.
@@ -277,23 +279,25 @@
 
     def ready(self, job_id: str) -> bool:
         """Whether the records of all jobs that it needs say done; nobody's belief counts before that."""
-        return not self.chain.waits_for(job_id)
+        return not self.prerequisites.waits_for(job_id)
 
     def waiting_for_others(self) -> int:
-        return sum(1 for job in self.chain.needs if self.jobs[job].state not in wire.FINAL and not self.ready(job))
+        return sum(
+            1 for job in self.prerequisites.needs if self.jobs[job].state not in wire.FINAL and not self.ready(job)
+        )
 
     def done_tasks(self, job_id: str) -> set[int]:
         tasks: set[int] = set()
-        for held, size in ((self.done, c.BITMAP_CHUNK_TASKS), (self.fine, c.FINE_CHUNK_TASKS)):
+        for held, size in ((self.done, c.BITMAP_CHUNK_TASKS), (self.done_fine, c.FINE_CHUNK_TASKS)):
             for chunk, (bits, _) in held.get(job_id, {}).items():
-                tasks |= tasks_in(bits, chunk * size)
+                tasks |= tasks_in_bitmap(bits, chunk * size)
         return tasks
 
-    def leftovers(self, job_id: str) -> list[str]:
+    def leftover_keys(self, job_id: str) -> list[str]:
         """Keys of a job that is over which nobody needs any more."""
         return [
             f"{prefix}{job_id}/{number}"
-            for held, prefix in ((self.done, DONE), (self.fine, FINE), (self.parts, PART))
+            for held, prefix in ((self.done, DONE), (self.done_fine, DONE_FINE), (self.parts, PART))
             for number in held.get(job_id, {})
         ]
 
@@ -307,7 +311,7 @@
     return Standing(wire.RANK[spec.priority], at + spec.deadline_s if spec.deadline_s else math.inf)
 
 
-def slim(pair: wire.KeyValue) -> wire.KeyValue:
+def compact(pair: wire.KeyValue) -> wire.KeyValue:
     """A pair that is kept until all pages are read: a job's as its record, which is a fraction of its JSON."""
     if pair.key.startswith(JOB):
         pair.value = wire.convert(pair.value, JobRecord)
@@ -318,25 +322,25 @@
 # --- values that have to fit ----------------------------------------------------------------------
 
 
-def fits(value: Any, value_kb: float) -> bool:
+def fits_value(value: Any, value_kb: float) -> bool:
     return len(orjson.dumps(value)) <= value_kb * 1024 - c.VALUE_SLACK_BYTES
 
 
-def cut(text: str, size: int) -> list[str]:
+def split_text(text: str, size: int) -> list[str]:
     """In pieces of at most `size` characters."""
     return [text[start : start + size] for start in range(0, len(text), size)]
 
 
-def parts_of(spec: wire.JobSpec, value_kb: float) -> list[str]:
+def description_parts(spec: wire.JobSpec, value_kb: float) -> list[str]:
     """The description as text in pieces that each fit one value; none if the job's own record can hold it."""
     plain = orjson.dumps(wire.to_plain(spec))
     if len(plain) <= value_kb * 1024 - c.RECORD_BYTES:
         return []
     text = base64.b64encode(plain).decode("ascii")
-    return cut(text, int(value_kb * 1024) - c.VALUE_SLACK_BYTES)
+    return split_text(text, int(value_kb * 1024) - c.VALUE_SLACK_BYTES)
 
 
-def joined(parts: dict[int, str], count: int) -> wire.JobSpec | None:
+def joined_description(parts: dict[int, str], count: int) -> wire.JobSpec | None:
     """The description, if all its pieces are there."""
     if any(number not in parts for number in range(count)):
         return None
@@ -345,17 +349,17 @@
     return spec
 
 
-def created(spec: wire.JobSpec, parts: list[str], at: float, run: str = "") -> list[dict[str, Any]]:
+def creation_changes(spec: wire.JobSpec, parts: list[str], at: float, run: str = "") -> list[dict[str, Any]]:
     """The changes that make a job known."""
     record = JobRecord(wire.JobState.QUEUED.value, None if parts else spec, spec.tasks, at, len(parts), run=run)
     changes = [wire.put(JOB + spec.id, wire.to_plain(record))]
     return changes + [wire.put(f"{PART}{spec.id}/{n}", {"text": text}) for n, text in enumerate(parts)]
 
 
-def cancelled(record: JobRecord, value_kb: float, ended: float) -> JobRecord:
+def cancelled_record(record: JobRecord, value_kb: float, ended: float) -> JobRecord:
     """What stays of a job cancelled at that time of day; of a long description only what its last tasks count by."""
     held = JobRecord(wire.JobState.CANCELLED.value, record.spec, record.tasks, record.at, ended=ended)
-    if record.spec is not None and not fits(wire.to_plain(held), value_kb):
+    if record.spec is not None and not fits_value(wire.to_plain(held), value_kb):
         held.spec = msgspec.structs.replace(record.spec, types=None, needs=None, zone=None, image="", job_class="")
     return held
 
@@ -364,7 +368,7 @@
     """The machine types, in as many values as it takes; `known` pieces are there already."""
     pieces: list[list[wire.MachineType]] = [[]]
     for kind in types:
-        if pieces[-1] and not fits({"types": wire.to_plain([*pieces[-1], kind])}, value_kb):
+        if pieces[-1] and not fits_value({"types": wire.to_plain([*pieces[-1], kind])}, value_kb):
             pieces.append([])
         pieces[-1].append(kind)
     pieces += [[]] * (known - len(pieces))
@@ -372,7 +376,7 @@
     return [wire.put(key, {"types": wire.to_plain(piece)}) for key, piece in zip(keys, pieces, strict=True)]
 
 
-def tasks_in(bits: bytes, first: int) -> set[int]:
+def tasks_in_bitmap(bits: bytes, first: int) -> set[int]:
     return {first + 8 * byte + bit for byte, value in enumerate(bits) if value for bit in range(8) if value >> bit & 1}
 
 
@@ -386,7 +390,7 @@
 
 
 @dataclass(slots=True)
-class Saving:
+class DoneTasksWrite:
     """One value of finished tasks: its key, the version it follows, and the tasks it holds."""
 
     key: str
@@ -395,29 +399,31 @@
     tasks: set[int]
 
 
-def savings(replica: Replica, job_id: str, done: set[int], saved: set[int], value_kb: float) -> list[Saving]:
+def done_task_writes(
+    replica: Replica, job_id: str, done: set[int], saved: set[int], value_kb: float
+) -> list[DoneTasksWrite]:
     """The values that keep what is done and not saved yet.
 
     The chunks that every version reads, where they fit; finer ones else. A chunk that was stored while values
     could be larger stays as it is.
     """
-    found: list[Saving] = []
+    found: list[DoneTasksWrite] = []
     for chunk in sorted({task // c.BITMAP_CHUNK_TASKS for task in done - saved}):
         saving = _saving(replica.done, DONE, job_id, done, chunk, c.BITMAP_CHUNK_TASKS)
-        if fits(saving.value, value_kb):
+        if fits_value(saving.value, value_kb):
             found.append(saving)
             continue
-        fine = {task // c.FINE_CHUNK_TASKS for task in (done - saved) & saving.tasks}
-        found += [_saving(replica.fine, FINE, job_id, done, n, c.FINE_CHUNK_TASKS) for n in sorted(fine)]
+        done_fine = {task // c.FINE_CHUNK_TASKS for task in (done - saved) & saving.tasks}
+        found += [_saving(replica.done_fine, DONE_FINE, job_id, done, n, c.FINE_CHUNK_TASKS) for n in sorted(done_fine)]
     return found
 
 
 def _saving(
     held: dict[str, dict[int, tuple[bytes, int]]], prefix: str, job_id: str, done: set[int], chunk: int, size: int
-) -> Saving:
+) -> DoneTasksWrite:
     version = held[job_id][chunk][1] if chunk in held.get(job_id, {}) else 0
     tasks = {task for task in done if chunk * size <= task < (chunk + 1) * size}
-    return Saving(f"{prefix}{job_id}/{chunk}", version, bitmap(tasks, chunk * size, size), tasks)
+    return DoneTasksWrite(f"{prefix}{job_id}/{chunk}", version, bitmap(tasks, chunk * size, size), tasks)
 
 
 @dataclass(slots=True, eq=False)
@@ -467,7 +473,7 @@
             self._on_change(self.replica.learn(rows, trio.current_time()))
 
     async def _reload(self) -> None:
-        revision, pairs = await self._state.read_all(WATCHED, slim)
+        revision, pairs = await self._state.read_all(WATCHED, compact)
         self._on_change(self.replica.reload(revision, pairs, trio.current_time()))
 
     async def sync(self) -> None:
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -12,7 +12,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
-from pepperlatch.controller.store import Entry, Replica, StateWatcher
+from pepperlatch.controller.store import JobEntry, Replica, StateWatcher
 from pepperlatch.policy import reasons
 from pepperlatch.policy.model import fits_type
 from pepperlatch.policy.quota import beyond_limit
@@ -59,7 +59,7 @@
     parts: list[str] = field(default_factory=list)  # of a description that one value cannot hold
 
     def changes(self, at: float) -> list[dict[str, Any]]:
-        return store.created(self.spec, self.parts, at)
+        return store.creation_changes(self.spec, self.parts, at)
 
 
 def parse_job(body: bytes) -> Any:
@@ -120,7 +120,7 @@
     if entry.state in wire.FINAL:
         through = entry.through
         return None if through is None or through == job_id else Reason(Why.GONE, names=(through,))
-    waits_for = replica.chain.waits_for(job_id)
+    waits_for = replica.prerequisites.waits_for(job_id)
     return Reason(Why.NEEDS, names=tuple(waits_for)) if waits_for else None
 
 
@@ -207,7 +207,7 @@
         """
         spec = check_job(value)
         limits = self._settings.params.state
-        parts = store.parts_of(spec, limits.value_kb)
+        parts = store.description_parts(spec, limits.value_kb)
         if len(parts) >= limits.txn_ops or sum(map(len, parts)) > c.TXN_BYTES:
             raise Malformed("the description is longer than what is stored at once")
         types = self._replica.types or self.types
@@ -230,7 +230,7 @@
     async def _create(self, spec: JobSpec) -> Response:
         if len(self._queue) >= self._state.writes_within(c.SUBMIT_WAIT_S):  # its turn would not come in time
             return later()
-        parts = store.parts_of(spec, self._settings.params.state.value_kb)
+        parts = store.description_parts(spec, self._settings.params.state.value_kb)
         submission = self._queue.setdefault(spec.id, _Submission(spec, parts=parts))  # twice in flight: one conflicts
         self._wake.set()
         with trio.move_on_after(c.SUBMIT_WAIT_S):
@@ -308,7 +308,7 @@
 
     # --- looking up and cancelling ----------------------------------------------------------------
 
-    def describe(self, job_id: str, entry: Entry) -> dict[str, Any]:
+    def describe(self, job_id: str, entry: JobEntry) -> dict[str, Any]:
         """The answer to a poll, from this node's copy as it stands."""
         tasks = entry.record.tasks
         if entry.state in wire.FINAL:
@@ -346,7 +346,7 @@
                     return Response(404, {"error": "no such job"})
                 if entry.state in wire.FINAL:
                     return Response(200, wire.job_answer(job_id, entry.state))
-                record = store.cancelled(entry.record, self._settings.params.state.value_kb, self._wall())
+                record = store.cancelled_record(entry.record, self._settings.params.state.value_kb, self._wall())
                 key = store.JOB + job_id
                 outcome = await self._state.txn([wire.when(key, entry.version)], [wire.put(key, wire.to_plain(record))])
                 if outcome.applied:  # known here before its user is told: others vouch by what this node knows
--- a/pepperlatch/pipelines/runs.py
+++ b/pepperlatch/pipelines/runs.py
@@ -59,7 +59,7 @@
 def record(address: str, digest: str, packed: str, at: float, value_kb: float) -> Change:
     """Write a run down, with all that it takes to go on by anybody."""
     size = int(value_kb * 1024) - core.RECORD_BYTES
-    pieces = store.cut(packed, size) if len(packed) > size else []
+    pieces = store.split_text(packed, size) if len(packed) > size else []
     run = RunRecord(Phase.OPEN, digest, at, "" if pieces else packed, len(pieces))
     writes = [put_run(address, run), wire.put(OPEN + address, {})]
     writes += [wire.put(f"{PIECE}{address}/{n}", {"text": text}) for n, text in enumerate(pieces)]
@@ -75,8 +75,8 @@
     ids: list[str] = []
     size = 0
     for spec in missing:
-        parts = store.parts_of(spec, limits.value_kb)
-        changes = store.created(spec, parts, at, address)
+        parts = store.description_parts(spec, limits.value_kb)
+        changes = store.creation_changes(spec, parts, at, address)
         size += sum(len(orjson.dumps(change)) for change in changes)
         if ids and (len(writes) + len(changes) > min(most, limits.txn_ops) or size > core.TXN_BYTES):
             break
--- a/pepperlatch/pipelines/schedules.py
+++ b/pepperlatch/pipelines/schedules.py
@@ -93,7 +93,7 @@
 
 def kept(name: str, version: int, record: ScheduleRecord, packed: str, held: int, value_kb: float) -> Change:
     """Write a schedule down with its plan; `held`: pieces of the one that it replaces."""
-    pieces = store.cut(packed, int(value_kb * 1024) - core.VALUE_SLACK_BYTES)
+    pieces = store.split_text(packed, int(value_kb * 1024) - core.VALUE_SLACK_BYTES)
     record = msgspec.structs.replace(record, pieces=len(pieces))
     writes = [wire.put(CRON + name, wire.to_plain(record))]
     writes += [wire.put(f"{SCHEDULED}{name}/{n}", {"text": text}) for n, text in enumerate(pieces)]
--- a/tests/measure_history.py
+++ b/tests/measure_history.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from pepperlatch.controller.store import WATCHED, Replica, slim
+from pepperlatch.controller.store import WATCHED, Replica, compact
 from pepperlatch.protocol.state import StateClient
 from tests.fakes import settings_of
 
@@ -42,7 +42,7 @@
     params.state.rps = 1e9
     replica = Replica()
     state = StateClient(Pages(count), "", params.state, 1, trio.current_time)
-    replica.reload(*await state.read_all(WATCHED, slim))
+    replica.reload(*await state.read_all(WATCHED, compact))
     return replica
 
 
--- a/tests/meetings/test_returns_of_hung_machines.py
+++ b/tests/meetings/test_returns_of_hung_machines.py
@@ -130,19 +130,19 @@
     replica.learn([("run-000001", record("queued"), 6)], 11.0)
     replica.current_at = 20.0
     replica.learn([("run-000001", record("withdrawn"), 7)], 26.0)
-    assert replica.cancelled_by("run-000001") == "run-000001"
-    assert replica.told_after("run-000001") == 20.0
+    assert replica.cancelling_job("run-000001") == "run-000001"
+    assert replica.cancellation_not_before("run-000001") == 20.0
 
 
 def test_a_node_that_began_since_cannot_tell_by_its_own_readings() -> None:
     replica = store.Replica()
     replica.reload(7, [wire.KeyValue("j/job/run-000001", record("withdrawn"), 7)], 10.0)
-    assert replica.cancelled_by("run-000001") == "run-000001"
-    assert replica.told_after("run-000001") is None
-    assert replica.cancelled_by("run-000002") is None
+    assert replica.cancelling_job("run-000001") == "run-000001"
+    assert replica.cancellation_not_before("run-000001") is None
+    assert replica.cancelling_job("run-000002") is None
 
 
 def test_a_record_says_when_its_job_was_cancelled_and_an_earlier_version_can_read_it() -> None:
     before = store.JobRecord("queued", spec_of(1), 2, at=100.0)
-    after = store.cancelled(before, 16.0, 160.0)
+    after = store.cancelled_record(before, 16.0, 160.0)
     assert (after.state, after.ended, after.at) == ("withdrawn", 160.0, 100.0)
--- a/tests/pipelines/test_runs.py
+++ b/tests/pipelines/test_runs.py
@@ -344,7 +344,7 @@
         plan = chain(3, expected_s=1.0, pieces=1)
         ids = announce(world, plan)
         key = "j/job/" + ids["s1"]
-        theirs = store.created(plans.specs(plan)["s1"], [], 7.0)
+        theirs = store.creation_changes(plans.specs(plan)["s1"], [], 7.0)
         before(world, key, "queued", lambda: world.state.change(theirs))
         assert (await insist(world, plan))[0] == 200
         assert world.state.keys[key][0]["at"] == 7.0
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -269,15 +269,15 @@
     rounds = (({0, 7, 8, 32767, 32768}, 16.0), ({9, 12_000, 20_000, 99_999}, 2.0))
     for revision, (fresh, value_kb) in enumerate(rounds, 1):
         done = saved | fresh
-        savings = store.savings(replica, "run-1", done, saved, value_kb)
-        assert all(store.fits(s.value, value_kb) for s in savings)
+        savings = store.done_task_writes(replica, "run-1", done, saved, value_kb)
+        assert all(store.fits_value(s.value, value_kb) for s in savings)
         replica.apply(wire.Changes(revision, [wire.Change(revision, put=s.key, value=s.value) for s in savings]))
         saved = replica.done_tasks("run-1")
         assert saved == done
-    assert any(s.key.startswith(store.FINE) for s in savings)
+    assert any(s.key.startswith(store.DONE_FINE) for s in savings)
     large, version = replica.done["run-1"][0]
     assert version == 1 and len(large) == 4096  # stored while values could be larger: never rewritten
-    assert set(replica.leftovers("run-1")) >= {f"{store.DONE}run-1/0", f"{store.FINE}run-1/4"}
+    assert set(replica.leftover_keys("run-1")) >= {f"{store.DONE}run-1/0", f"{store.DONE_FINE}run-1/4"}
 
 
 def test_an_older_change_never_undoes_a_newer_one() -> None:
