--- a/pepperlatch/controller/command_loop.py
+++ b/pepperlatch/controller/command_loop.py
@@ -17,9 +17,9 @@
 
 @dataclass(slots=True)
 class CommandLoop:
-    """Commands run one after the other; after each batch `settle` acts on what they changed."""
+    """Commands run one after the other; after each batch `after_batch` acts on what they changed."""
 
-    settle: Callable[[], None]
+    after_batch: Callable[[], None]
     tick_s: float
     _queue: deque[Command] = field(default_factory=deque)
     _wake: trio.Event = field(default_factory=trio.Event)
@@ -45,7 +45,7 @@
                 log.info("%d commands wait", len(self._queue))
             for _ in range(len(self._queue)):
                 self._queue.popleft()()
-            self.settle()
+            self.after_batch()
 
 
 @dataclass(slots=True)
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -101,8 +101,8 @@
     async def _delegate(self, leader: Leader, follower: str, statement: DelegationStatement) -> DelegationAnswer | None:
         """None if the leader may not, or is busy: the contact itself must not wait for that."""
         reply: Reply[DelegationAnswer | None] = Reply()
-        proven_at = leader.term.proven_at()
-        self._command_loop.enqueue(lambda: leader.on_statement(follower, statement, proven_at, reply))
+        copy_current_at = leader.term.copy_current_at()
+        self._command_loop.enqueue(lambda: leader.on_delegation_statement(follower, statement, copy_current_at, reply))
         with trio.move_on_after(c.DELEGATION_WAIT_S):
             return await reply.get()
         return None
@@ -122,7 +122,7 @@
         message = _message(body)
         if message is None:
             return Response(400, {"error": "wanted: node and token"})
-        self._leaderless.told(message.cancelled, message.witnesses)
+        self._leaderless.update_machines(message.cancelled, message.witnesses)
         return Response(200, self._heartbeats.barred(message.relay))
 
     # --- asking -----------------------------------------------------------------------------------
@@ -151,7 +151,7 @@
         if self._alone(leader):
             return "neither workers nor other controllers reach this leader"
         term = leader.term
-        if term.checked_at - max(self._replica.current_at, term.answered_since) > c.HANDOVER_STALE_S:
+        if term.lease_confirmed_at - max(self._replica.current_at, term.lease_confirmed_since) > c.HANDOVER_STALE_S:
             return "this leader's lease is answered, and its reads are not"
         return ""
 
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -20,7 +20,7 @@
 from pepperlatch.controller.heartbeats.handler import HeartbeatHandler
 from pepperlatch.controller.leader import Leader
 from pepperlatch.controller.leaderless import LeaderlessReturns
-from pepperlatch.controller.leadership import Leadership, Term, hold_seconds
+from pepperlatch.controller.leadership import Leadership, Term, lease_extension_seconds
 from pepperlatch.controller.parts import Core, Part, Parts, Told
 from pepperlatch.controller.peers import PEER_FENCE, PEER_INSPECT, Peers
 from pepperlatch.controller.store import Replica, StateWatcher
@@ -62,12 +62,19 @@
         self.peers = Peers(settings, network, self.workers)
         self.replica = Replica()
         self.watcher = StateWatcher(self.state, self.replica, self._changed)
-        hold_s = hold_seconds(params.workers.cancel_s, params.workers.lease_s)
-        self.leadership = Leadership(settings.node, self.state, self.replica, hold_s, clock, seed)
+        lease_extension_s = lease_extension_seconds(params.workers.cancel_s, params.workers.lease_s)
+        self.leadership = Leadership(settings.node, self.state, self.replica, lease_extension_s, clock, seed)
         self.attestation = PeerAttestation(network, settings.peers, self.watcher, self.leadership, clock)
         self.command_loop = CommandLoop(self._settle, c.TICK_S / 5)
         self.heartbeats = HeartbeatHandler(
-            settings, network, clock, self.command_loop, self.replica, self.state, hold_s, lambda: self.leader
+            settings,
+            network,
+            clock,
+            self.command_loop,
+            self.replica,
+            self.state,
+            lease_extension_s,
+            lambda: self.leader,
         )
         self.users = Users(settings, self.watcher, self.state, wall, self._progress, self.attestation.notify_leader)
         self.admin = Admin(self.watcher, self.state, self.view)
@@ -120,14 +127,14 @@
 
     def _changed(self, touched: set[str]) -> None:
         """The watch: the loss of leadership is seen before any job that came after it."""
-        self.leadership.check_key()
+        self.leadership.check_leader_key()
         leader = self.leader
         if leader is not None and not leader.term.over:
             self.command_loop.enqueue(lambda: leader.on_jobs(touched))
 
     def _settle(self) -> None:
         if self.leader is not None:
-            self.leader.settle()
+            self.leader.after_batch()
 
     # --- the users' listener ----------------------------------------------------------------------
 
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -92,7 +92,7 @@
 
     # --- silence ----------------------------------------------------------------------------------
 
-    def look(self, now: float, sure: bool) -> None:
+    def check(self, now: float, sure: bool) -> None:
         cluster, planner = self._leader_task.cluster, self._leader_task.planner
         quiet = self._quiet(now)
         self._look_at_zones(quiet, now)
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -14,7 +14,7 @@
 from pepperlatch.controller.heartbeats.delegation import DelegatedAnswers
 from pepperlatch.controller.heartbeats.forwarding import HeartbeatForwarder
 from pepperlatch.controller.leader import GRANT, HeartbeatAnswer, Leader
-from pepperlatch.controller.leadership import keeps_alive_until
+from pepperlatch.controller.leadership import renewal_deadline
 from pepperlatch.controller.store import Replica
 from pepperlatch.policy.cluster import BEGAN
 from pepperlatch.policy.model import split_task
@@ -42,14 +42,14 @@
 class HeartbeatHandler:
     def __init__(
         self, settings: Settings, network: Network, clock: Clock, command_loop: CommandLoop, replica: Replica,
-        state: StateClient, hold_s: float, leader: Callable[[], Leader | None],
+        state: StateClient, lease_extension_s: float, leader: Callable[[], Leader | None],
     ) -> None:  # fmt: skip
         self.forwarder = HeartbeatForwarder(network, settings.node)
         self._clock = clock
         self._command_loop = command_loop
         self._replica = replica
         self._state = state
-        self._hold_s = hold_s
+        self._lease_extension_s = lease_extension_s
         self._leader = leader
         self._lease_s = settings.params.workers.lease_s
         self._addr = {peer.node: peer.addr for peer in settings.peers}
@@ -194,7 +194,7 @@
             and held[1] == contact.token == report.token
             and not self._state_here()
             and now > max(self._barred_until, self._began_at + c.STAND_IN_BAR_S)
-            and now < keeps_alive_until(self._hold_s, self._replica.current_at, contact.at)
+            and now < renewal_deadline(self._lease_extension_s, self._replica.current_at, contact.at)
         )
 
     def _stand_in(self, report: Report) -> Response:
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -13,7 +13,7 @@
 from pepperlatch.controller.command_loop import CommandLoop, Reply
 from pepperlatch.controller.health import Health
 from pepperlatch.controller.leader_task import LeaderTask
-from pepperlatch.controller.leadership import Term, keeps_alive_until
+from pepperlatch.controller.leadership import Term, renewal_deadline
 from pepperlatch.controller.peers import Peers
 from pepperlatch.controller.records import Records
 from pepperlatch.controller.rentals import Rentals
@@ -50,7 +50,7 @@
     answers: list[HeartbeatAnswer]
     heartbeats: list[tuple[int, Machine, int]] = field(default_factory=list)
 
-    def settle(self) -> None:
+    def send_answers(self) -> None:
         self.reply.resolve(self.answers)
 
 
@@ -71,7 +71,13 @@
         self.wall = wall
         now = clock()
         self.cluster = Cluster(
-            settings.node, term.token, settings.params, now, term.hold_s, self._spec_if_over, self._cancelled_since
+            settings.node,
+            term.token,
+            settings.params,
+            now,
+            term.lease_extension_s,
+            self._spec_if_over,
+            self._cancellation_not_before,
         )
         self.cluster.images = images
         self.planner = Planner(self.cluster, Tuning(replica.tuning[0]))
@@ -169,7 +175,7 @@
         entry = self.replica.jobs.get(job_id)
         return entry.record.spec if entry is not None and entry.state in wire.FINAL else None
 
-    def _cancelled_since(self, job_id: str) -> float:
+    def _cancellation_not_before(self, job_id: str) -> float:
         """No user was told before then that the job is cancelled; infinite if it is not.
 
         By this node's own readings, else by the time of day in the record. If neither can tell it may be so long ago
@@ -253,7 +259,7 @@
         now = self.clock()
         waiting = _Waiting(follower, reply, [None] * len(reports))
         if not self.ready or not self.term.may_answer(now):
-            waiting.settle()
+            waiting.send_answers()
             return
         for index, report in enumerate(reports):
             machine = self.cluster.on_report(report, now, beat=True)
@@ -262,10 +268,14 @@
                 waiting.heartbeats.append((index, machine, report.seq))
         self._heartbeats.append(waiting)
 
-    def on_statement(
-        self, follower: str, statement: DelegationStatement, proven_at: float, reply: Reply[DelegationAnswer | None]
+    def on_delegation_statement(
+        self,
+        follower: str,
+        statement: DelegationStatement,
+        copy_current_at: float,
+        reply: Reply[DelegationAnswer | None],
     ) -> None:
-        """What a follower holds. `proven_at`: the leader's proof as it was when this was put into the queue.
+        """What a follower holds. `copy_current_at`: the leader's proof as it was when this was put into the queue.
 
         All that the copy held by then has been taken in before this runs, so that what is kept alive on the proof is
         not what a cancellation known by then has ended.
@@ -274,7 +284,7 @@
         if not self.ready or not self.term.may_answer(now):
             reply.resolve(None)
             return
-        until = keeps_alive_until(self.term.hold_s, proven_at)
+        until = renewal_deadline(self.term.lease_extension_s, copy_current_at)
         reply.resolve(self.cluster.delegate(follower, statement, until, now))
 
     def _direct_report(self, report: Report, asked_at: float, through_others: bool = False) -> None:
@@ -290,16 +300,16 @@
 
     # --- after every batch ------------------------------------------------------------------------
 
-    def settle(self) -> None:
+    def after_batch(self) -> None:
         if not self.ready or self.term.over:
             self._refuse_heartbeats()
             return
         now = self.clock()
-        sure, may = self.term.sure(now), self.term.may_answer(now)
+        sure, may = self.term.lease_valid(now), self.term.may_answer(now)
         if now - self._housekeep_at >= c.TICK_S:
             self._housekeep_at = now
             self.cluster.expire(now)
-            self._health.look(now, sure)
+            self._health.check(now, sure)
         if (self.cluster.dirty or self.planner.unfinished) and may and now >= self._plan_after:
             self._plan(now, sure)
         self._answer_heartbeats(now, sure, may)
@@ -334,7 +344,7 @@
     def _refuse_heartbeats(self) -> None:
         refused, self._heartbeats = self._heartbeats, []
         for waiting in refused:
-            waiting.settle()
+            waiting.send_answers()
 
     def _answer_heartbeats(self, now: float, sure: bool, may: bool) -> None:
         if not may:
@@ -344,7 +354,7 @@
         for waiting in answered:
             for index, machine, seq in waiting.heartbeats:
                 waiting.answers[index] = self._answer(machine, seq, waiting.follower, sure, now)
-            waiting.settle()
+            waiting.send_answers()
 
     def _answer(self, machine: Machine, seq: int, follower: str, sure: bool, now: float) -> dict[str, Any]:
         """Orders for the newest report; its follower may answer the same again if nothing is left to be done."""
--- a/pepperlatch/controller/leaderless.py
+++ b/pepperlatch/controller/leaderless.py
@@ -51,7 +51,7 @@
         self._told_at = float("inf")
         self._witnesses: list[str] = []
 
-    def told(self, machines: list[CancelledOn], witnesses: list[str]) -> None:
+    def update_machines(self, machines: list[CancelledOn], witnesses: list[str]) -> None:
         """By the leader. What it does not name any more has shown that it holds no such task, or is gone."""
         now = self._clock()
         self._told_at = now
--- a/pepperlatch/controller/leadership.py
+++ b/pepperlatch/controller/leadership.py
@@ -21,27 +21,29 @@
 class Term:
     """One time of leading, with the two proofs that what a leader does rests on.
 
-    Authority: the lease of this token was alive; `checked_at` is when the last confirmed check was sent. Currency:
-    this node's copy held all that was confirmed before a moment, the leader's key among it (`Replica.current_at`). A
-    touch of the lease says nothing of the copy: answers of a watch may be lost or slow while touches are answered.
+    Authority: the lease of this token was alive; `lease_confirmed_at` is when the last confirmed check was sent.
+    Currency: this node's copy held all that was confirmed before a moment, the leader's key among it
+    (`Replica.current_at`). A touch of the lease says nothing of the copy: answers of a watch may be lost or slow while
+    touches are answered.
     """
 
     token: int
     lease: int
-    checked_at: float
-    hold_s: float
+    lease_confirmed_at: float
+    lease_extension_s: float
     replica: store.Replica
     over: bool = False
-    answered_since: float = -math.inf  # no gap in the checks since then
+    lease_confirmed_since: float = -math.inf  # no gap in the checks since then
     attested_at: float = -math.inf  # the others were asked then, and made the copy as current as a reading
 
-    def sure(self, now: float) -> bool:
+    def lease_valid(self, now: float) -> bool:
         """The lease cannot have ended yet: what cannot be taken back is allowed."""
         return (
-            not self.over and now - self.checked_at < c.LEADER_LEASE_MS / 1000 * (1 - c.CLOCK_DRIFT) - c.SURE_MARGIN_S
+            not self.over
+            and now - self.lease_confirmed_at < c.LEADER_LEASE_MS / 1000 * (1 - c.CLOCK_DRIFT) - c.SURE_MARGIN_S
         )
 
-    def proven_at(self) -> float:
+    def copy_current_at(self) -> float:
         """All that was confirmed before then is known here, by a reading or by what every other controller said."""
         return max(self.replica.current_at, self.attested_at)
 
@@ -51,15 +53,15 @@
         Seen: a leader refused by the state service kept jobs alive, and started them anew, that were cancelled through
         others, as soon as it could touch its lease again: its copy was older than that.
         """
-        return not self.over and now < keeps_alive_until(self.hold_s, self.proven_at())
+        return not self.over and now < renewal_deadline(self.lease_extension_s, self.copy_current_at())
 
 
-def keeps_alive_until(hold_s: float, *proved_at: float) -> float:
+def renewal_deadline(lease_extension_s: float, *proved_at: float) -> float:
     """How long leases may be renewed on what was proven by requests sent at these moments: the oldest one counts."""
-    return min(proved_at) + hold_s
+    return min(proved_at) + lease_extension_s
 
 
-def hold_seconds(cancel_s: float, lease_s: float) -> float:
+def lease_extension_seconds(cancel_s: float, lease_s: float) -> float:
     """G of `docs/safety.md` 6: what is answered so long after a proof is gone within `cancel_s` of that proof."""
     return max(0.0, (cancel_s - lease_s * (1 + c.CLOCK_DRIFT)) * (1 - c.CLOCK_DRIFT) - c.HOLD_MARGIN_S)
 
@@ -70,23 +72,23 @@
         node: str,
         state: StateClient,
         replica: store.Replica,
-        hold_s: float,
+        lease_extension_s: float,
         clock: Callable[[], float],
         seed: int | None = None,
     ) -> None:
         self._node = node
         self._state = state
         self._replica = replica
-        self.hold_s = hold_s
+        self.lease_extension_s = lease_extension_s
         self._clock = clock
         self._random = random.Random(seed)
         self.term: Term | None = None
-        self.yield_until = 0.0
+        self.no_election_until = 0.0
 
     async def run(self, on_term: Callable[[Term | None], None]) -> None:
         while True:
             try:
-                term = await self._win()
+                term = await self._try_to_win()
             except (Away, Unsure, LeaseGone):
                 await trio.sleep(c.STATE_RETRY_S)
                 continue
@@ -104,11 +106,11 @@
             log.info("no longer leading with token %d", term.token)
             on_term(None)
 
-    async def _win(self) -> Term | None:
+    async def _try_to_win(self) -> Term | None:
         replica = self._replica
         if replica.loaded and replica.leader is not None and replica.leader[0] == self._node:
             await self._end_earlier(replica.leader[1])
-        if not replica.loaded or replica.leader is not None or self._clock() < self.yield_until:
+        if not replica.loaded or replica.leader is not None or self._clock() < self.no_election_until:
             return None
         await trio.sleep(self._random.random() * c.ELECTION_JITTER_S)
         if self._replica.leader is not None:
@@ -124,7 +126,7 @@
         if not outcome.applied:
             await self._state.revoke(lease)
             return None
-        return Term(outcome.revision, lease, sent, self.hold_s, replica)
+        return Term(outcome.revision, lease, sent, self.lease_extension_s, replica)
 
     async def _end_earlier(self, token: int) -> None:
         """The key names this node, which does not lead: a term of the process before this one, or one given up.
@@ -158,15 +160,15 @@
         sent = self._clock()
         try:
             await self._state.touch(term.lease, c.LEADER_LEASE_MS / 1000)
-            if sent - term.checked_at > c.LEADER_LEASE_MS / 1000:
-                term.answered_since = sent
-            term.checked_at = max(term.checked_at, sent)
+            if sent - term.lease_confirmed_at > c.LEADER_LEASE_MS / 1000:
+                term.lease_confirmed_since = sent
+            term.lease_confirmed_at = max(term.lease_confirmed_at, sent)
         except LeaseGone:
             term.over = True
         except (Away, Unsure):
             return
 
-    def check_key(self) -> None:
+    def check_leader_key(self) -> None:
         """Called after every change of the replica: a key that is not ours any more ends the term."""
         term, leader = self.term, self._replica.leader
         if term is None or self._replica.revision < term.token:
@@ -179,6 +181,6 @@
         term = self.term
         if term is None:
             return
-        self.yield_until = self._clock() + pause_s
+        self.no_election_until = self._clock() + pause_s
         term.over = True
         await self._give_back(term.lease)
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -58,7 +58,7 @@
         offer = Offer(record.type, record.zone, record.spot)
         names: list[str] | None = []
         while not self._leader_task.term.over:
-            while not self._leader_task.term.sure(self._leader_task.clock()):
+            while not self._leader_task.term.lease_valid(self._leader_task.clock()):
                 await trio.sleep(c.STATE_RETRY_S)
                 if self._leader_task.term.over:
                     return
@@ -180,7 +180,7 @@
         while not self._leader_task.term.over:
             await trio.sleep(c.TICK_S / 5)
             names = sorted(self._leader_task.cluster.to_release)[: c.RELEASE_MOST]
-            if names and self._leader_task.term.sure(self._leader_task.clock()):
+            if names and self._leader_task.term.lease_valid(self._leader_task.clock()):
                 await self._release(names)
 
     async def release_cancelled_loop(self) -> None:
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -50,14 +50,14 @@
 
 class Cluster:
     def __init__(
-        self, node: str, token: int, params: Params, now: float, hold_s: float, spec_of: SpecOf,
+        self, node: str, token: int, params: Params, now: float, lease_extension_s: float, spec_of: SpecOf,
         cancelled_since: CancelledSince = lambda job_id: math.inf,
     ) -> None:  # fmt: skip
         self.node = node
         self.token = token
         self.params = params
-        self.hold_s = hold_s
-        self.blind_until = now + hold_s + params.workers.lease_s * (1 + c.CLOCK_DRIFT)
+        self.lease_extension_s = lease_extension_s
+        self.blind_until = now + lease_extension_s + params.workers.lease_s * (1 + c.CLOCK_DRIFT)
         self._spec_of = spec_of  # of a job that is over, whose tasks may still show up
         self._cancelled_since = cancelled_since
         self.types: dict[str, MachineType] = {}
@@ -602,7 +602,7 @@
             last = max(last, self.blind_until + c.LEASE_MARGIN_S - lease_s)
         return now > last + lease_s and all(
             (now <= other.barred_until and now > other.began_at + lease_s)
-            or now > other.answered_at + self.hold_s + lease_s
+            or now > other.answered_at + self.lease_extension_s + lease_s
             for other in self.stand_ins.values()
         )
 
@@ -651,7 +651,7 @@
         machine.beat_at = min(machine.beat_at, heard_at)
 
     def answered_peer(self, peer: str, now: float) -> None:
-        """From here on the other controller may stand in for us, until `hold_s` after it asked."""
+        """From here on the other controller may stand in for us, until `lease_extension_s` after it asked."""
         self.stand_ins.setdefault(peer, StandIn()).answered_at = now
 
     def on_promise(self, peer: str, stood_in: dict[str, float], until: float, now: float) -> None:
--- a/tests/acceptance/test_back_at_once.py
+++ b/tests/acceptance/test_back_at_once.py
@@ -172,12 +172,12 @@
         began = trio.current_time()
         if lose:
             with pytest.raises(Unsure):
-                await leadership._win()
+                await leadership._try_to_win()
             assert state.given_back == [7], "or nobody would lead until it ends"
             return
-        term = await leadership._win()
+        term = await leadership._try_to_win()
         assert term is not None
-        assert not term.sure(began + c.ELECTION_JITTER_S + c.LEADER_LEASE_MS / 1000)
+        assert not term.lease_valid(began + c.ELECTION_JITTER_S + c.LEADER_LEASE_MS / 1000)
 
     trio.run(tell, clock=trio.testing.MockClock(autojump_threshold=0))
 
--- a/tests/meetings/test_hung_machines.py
+++ b/tests/meetings/test_hung_machines.py
@@ -212,7 +212,7 @@
         await world.until(lambda: any(n.leader and n.leader.ready for n in world.nodes.values()), 10)
         leader = world.nodes[world.leader()].leader
         assert leader is not None
-        since, told_at = leader._cancelled_since("run-000001"), world.observer.cancelled["run-000001"]
+        since, told_at = leader._cancellation_not_before("run-000001"), world.observer.cancelled["run-000001"]
         if self.stamped and not self.clock_back_s:
             assert told_at - 3.0 < since <= told_at, "never later than the user was told, nor much earlier"
         else:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -11,7 +11,7 @@
 
 from pepperlatch.command import cli, talk
 from pepperlatch.controller import store
-from pepperlatch.controller.leadership import hold_seconds
+from pepperlatch.controller.leadership import lease_extension_seconds
 from pepperlatch.policy import draining, fleet, quota
 from pepperlatch.policy.model import Attempt, Job, Machine, Phase, Status
 from pepperlatch.policy.supply import Place, Spare, absorb, slack_s
@@ -295,4 +295,4 @@
     assert waits[0] == 0.0 and 0.9 < waits[-1] < 1.2
     assert budget.wait_for(1.0, urgent=True) == 0.0
     params = settings_of(0).params.workers
-    assert hold_seconds(params.cancel_s, params.lease_s) + params.lease_s < params.cancel_s - 0.9
+    assert lease_extension_seconds(params.cancel_s, params.lease_s) + params.lease_s < params.cancel_s - 0.9
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -330,7 +330,7 @@
         old = world.leader()
         bridge = (old + 1) % 3
         next_leader = (old + 2) % 3
-        world.nodes[bridge].leadership.yield_until = 1e9
+        world.nodes[bridge].leadership.no_election_until = 1e9
         far = world.workers[0].name
         world.cut(NODES[next_leader], far, "refuse")
         world.workers[0].node = bridge
