--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -1,4 +1,9 @@
-"""What a node does while it leads: carries out what the cluster and the planner decide."""
+"""What a controller does while it leads: it carries out what `Cluster` and `Planner` decide.
+
+`Leader` answers heartbeats, sends commands to workers, runs planning rounds and follows changes of jobs. Its helpers
+rent and return machines (`Rentals`), watch silent machines (`Health`) and record machines and finished tasks
+(`Records`).
+"""
 
 import logging
 import math
@@ -38,12 +43,16 @@
 log = logging.getLogger(__name__)
 Clock = Callable[[], float]
 HeartbeatAnswer = dict[str, Any] | None
-GRANT = "grant"  # in the answer to a heartbeat that was forwarded; the worker does not get it
+GRANT = "grant"  # field in the answer to a forwarded heartbeat; the follower removes it before it answers the worker
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """Heartbeats that came together and wait for their answers: place, machine and number of each."""
+class _PendingHeartbeats:
+    """Heartbeats that came in one request and wait for their answers.
+
+    `heartbeats` holds for each the index into `answers`, the machine and the report's sequence number. `follower` is
+    the controller that forwarded them and takes delegations, "" if there is none.
+    """
 
     follower: str
     reply: Reply[list[HeartbeatAnswer]]
@@ -55,7 +64,11 @@
 
 
 class Leader:
-    """Lives for one term. All methods run in the owner; coroutines post their results back to it."""
+    """The work of one term of leading; created by the node when it wins an election.
+
+    All methods but coroutines run in the command loop; coroutines enqueue their results there. Times are in seconds:
+    `clock` is the node's steady clock, `wall` the time of day.
+    """
 
     def __init__(
         self, settings: Settings, term: Term, replica: Replica, state: StateClient, cloud: CloudClient,
@@ -76,7 +89,7 @@
             settings.params,
             now,
             term.lease_extension_s,
-            self._spec_if_over,
+            self._spec_if_ended,
             self._cancellation_not_before,
         )
         self.cluster.images = images
@@ -90,15 +103,16 @@
         self._records = Records(self._leader_task, self._rentals.off_hire)
         self._health = Health(self._leader_task, workers, peers, self._direct_report)
         self.ready = False
-        self._heartbeats: list[_Waiting] = []
+        self._heartbeats: list[_PendingHeartbeats] = []
         self._rented_at = 0.0
-        self._plan_after = 0.0
+        self._plan_not_before = 0.0
         self._pace = RoundPace()
-        self._housekeep_at = 0.0
+        self._housekeeping_at = 0.0
 
     # --- life -------------------------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Read the recorded fleet, take over, and run the background tasks until the term is over."""
         async with trio.open_nursery() as nursery:
             self._leader_task.nursery = nursery
             fleet_pairs = await self._read_fleet()
@@ -118,6 +132,10 @@
             nursery.cancel_scope.cancel()
 
     async def _read_fleet(self) -> list[wire.KeyValue] | None:
+        """Return all records of hires and machines; None if the term is over.
+
+        They are read once this node's copy includes its own election, again for as long as nothing answers.
+        """
         while not self.term.over:
             try:
                 if self.replica.revision >= self.term.token:
@@ -128,7 +146,7 @@
         return None
 
     def _start(self, pairs: list[wire.KeyValue]) -> None:
-        """Take over: all that is recorded is loaded, then every machine fenced."""
+        """Take over: load all that is recorded, and have every machine fenced."""
         now = self.clock()
         cluster = self.cluster
         cluster.types = {kind.name: kind for kind in self.replica.types}
@@ -158,8 +176,8 @@
     def _load_machine(self, name: str, record: store.MachineRecord, now: float) -> None:
         kind = self.cluster.types.get(record.type)
         if kind is None:
-            log.error("machine %s is of unknown type %s: returned", name, record.type)
-            self.cluster.unaccounted.add(name)  # it may run tasks until it is gone
+            log.error("machine %s has the unknown type %s; returning it to the cloud", name, record.type)
+            self.cluster.unaccounted.add(name)  # it may run tasks until the cloud has taken it back
             self.cluster.to_release.add(name)
             return
         machine = Machine(name, kind, record.zone, record.spot, record.addr, Status.UP, now, draining=record.draining)
@@ -171,15 +189,17 @@
 
     # --- jobs -------------------------------------------------------------------------------------
 
-    def _spec_if_over(self, job_id: str) -> wire.JobSpec | None:
+    def _spec_if_ended(self, job_id: str) -> wire.JobSpec | None:
+        """Return the description of a job that is done or cancelled; None if the job has not ended or is not known."""
         entry = self.replica.jobs.get(job_id)
         return entry.record.spec if entry is not None and entry.state in wire.FINAL else None
 
     def _cancellation_not_before(self, job_id: str) -> float:
-        """No user was told before then that the job is cancelled; infinite if it is not.
+        """Return the steady time before which no user was told that the job is cancelled; infinite if it is not.
 
-        By this node's own readings, else by the time of day in the record. If neither can tell it may be so long ago
-        that a machine which may still hold a task of it has to be returned at once.
+        Taken from this node's own reads of the state service, else from the time of day in the job's record. If neither
+        is known, the cancellation counts as so old that a machine which may still hold a task of the job has to be
+        returned at once.
         """
         cancelled = self.replica.cancelling_job(job_id)
         if cancelled is None:
@@ -187,17 +207,20 @@
         cancellation_not_before = self.replica.cancellation_not_before(cancelled)
         if cancellation_not_before is not None:
             return cancellation_not_before
-        off_s = 2 * self.settings.params.clock_off_ms / 1000  # the writer's clock and ours
-        ago_s = self.wall() - self.replica.jobs[cancelled].record.ended + off_s
-        unknown_s = return_after_s(self.settings.params.workers)
-        return self.clock() - (ago_s if self._stamped(cancelled) and ago_s >= 0 else unknown_s)
+        clock_error_s = 2 * self.settings.params.clock_off_ms / 1000  # between the writer and us
+        ago_s = self.wall() - self.replica.jobs[cancelled].record.ended + clock_error_s
+        assumed_age_s = return_after_s(self.settings.params.workers)
+        return self.clock() - (ago_s if self._has_end_time(cancelled) and ago_s >= 0 else assumed_age_s)
 
-    def _stamped(self, job_id: str) -> bool:
-        """Records of earlier versions do not say when the job was cancelled."""
+    def _has_end_time(self, job_id: str) -> bool:
+        """Whether the record says when the job was cancelled; records of earlier versions don't."""
         return self.replica.jobs[job_id].record.ended > 0
 
     def _add_job(self, job_id: str) -> None:
-        """Only a job that is ready becomes known to the planner: what waits holds no part of anything."""
+        """Hand an unfinished job to the planner if all its prerequisites are done.
+
+        A job that still waits for others is not known to the planner, so that it reserves nothing.
+        """
         entry = self.replica.jobs[job_id]
         spec, prerequisites = entry.record.spec, self.replica.prerequisites
         if spec is None or not self.replica.ready(job_id):
@@ -209,7 +232,7 @@
         )
         job = self.cluster.add_job(spec, entry.version, since, self.replica.done_tasks(job_id))
         job.old = newest <= self.term.token
-        self._stand(job_id)
+        self._apply_standing(job_id)
         self.cluster.listener.job(job_id, "ready", self.clock())
         log.info(
             "job %s: %s %s of %d x %g cpus, %s for %s",
@@ -217,8 +240,8 @@
             spec.job_class, spec.team,
         )  # fmt: skip
 
-    def _stand(self, job_id: str) -> None:
-        """A job works with the rank and the due time of whatever needs it, if those are stronger than its own."""
+    def _apply_standing(self, job_id: str) -> None:
+        """Give a job the priority rank and due time of the jobs that need it, where those are stronger."""
         job, standing = self.cluster.jobs.get(job_id), self.replica.prerequisites.standing(job_id)
         if job is None or standing is None:
             return
@@ -228,7 +251,7 @@
         job.rank, job.due_at, job.after = standing.rank, due_at, standing.after
 
     def on_jobs(self, touched: set[str]) -> None:
-        """The watch has shown changes of these jobs."""
+        """Take in changes of these jobs, and of the operators' settings, in this node's copy of the state service."""
         if not self.ready:
             return
         for job_id in touched:
@@ -244,7 +267,7 @@
             else:
                 known.version = entry.version
         for job_id in self.replica.prerequisites.before(touched):
-            self._stand(job_id)
+            self._apply_standing(job_id)
         if self.replica.tuning[1] != self._tuning_version:
             self._tuning_version = self.replica.tuning[1]
             self.planner.tuning = Tuning(self.replica.tuning[0])
@@ -252,18 +275,19 @@
     # --- reports ----------------------------------------------------------------------------------
 
     def on_heartbeats(self, reports: list[Report], follower: str, reply: Reply[list[HeartbeatAnswer]]) -> None:
-        """Heartbeats that came together, and the follower that takes delegations and forwarded them ("" if none).
+        """Take in heartbeats that came in one request; they are answered after this batch of commands.
 
-        The reply has an answer for each, None for those that nobody may answer.
+        `follower` is the controller that forwarded them and takes delegations, "" if there is none. The reply has one
+        answer for each heartbeat, None for those that this node is not entitled to answer.
         """
         now = self.clock()
-        waiting = _Waiting(follower, reply, [None] * len(reports))
+        waiting = _PendingHeartbeats(follower, reply, [None] * len(reports))
         if not self.ready or not self.term.may_answer(now):
             waiting.send_answers()
             return
         for index, report in enumerate(reports):
             machine = self.cluster.on_report(report, now, beat=True)
-            self._after_report()
+            self._check_higher_token()
             if machine is not None:
                 waiting.heartbeats.append((index, machine, report.seq))
         self._heartbeats.append(waiting)
@@ -275,10 +299,11 @@
         copy_current_at: float,
         reply: Reply[DelegationAnswer | None],
     ) -> None:
-        """What a follower holds. `copy_current_at`: the leader's proof as it was when this was put into the queue.
+        """Take in which grants a follower holds, and reply for how long it may answer heartbeats itself.
 
-        All that the copy held by then has been taken in before this runs, so that what is kept alive on the proof is
-        not what a cancellation known by then has ended.
+        `copy_current_at` is `Term.copy_current_at()` from when this command was enqueued. All that the copy held by
+        then has been taken in before this command runs, so the delegation keeps nothing alive that was known by then to
+        be cancelled. The reply is None while this node may not answer heartbeats.
         """
         now = self.clock()
         if not self.ready or not self.term.may_answer(now):
@@ -291,38 +316,42 @@
         self.cluster.on_report(
             report, self.clock(), beat=False, through_others=through_others, asked_at=asked_at
         )  # fmt: skip
-        self._after_report()
+        self._check_higher_token()
 
-    def _after_report(self) -> None:
+    def _check_higher_token(self) -> None:
         if self.cluster.higher_token:
-            log.info("a worker has seen a higher token than %d", self.term.token)
+            log.info(
+                "a worker has seen a token higher than %d: a newer leader exists, ending this term", self.term.token
+            )
             self.term.over = True
 
     # --- after every batch ------------------------------------------------------------------------
 
     def after_batch(self) -> None:
+        """Act on what a batch of commands has changed: housekeeping, planning, answers, commands, records."""
         if not self.ready or self.term.over:
             self._refuse_heartbeats()
             return
         now = self.clock()
-        sure, may = self.term.lease_valid(now), self.term.may_answer(now)
-        if now - self._housekeep_at >= c.TICK_S:
-            self._housekeep_at = now
+        lease_valid, may_answer = self.term.lease_valid(now), self.term.may_answer(now)
+        if now - self._housekeeping_at >= c.TICK_S:
+            self._housekeeping_at = now
             self.cluster.expire(now)
-            self._health.check(now, sure)
-        if (self.cluster.dirty or self.planner.unfinished) and may and now >= self._plan_after:
-            self._plan(now, sure)
-        self._answer_heartbeats(now, sure, may)
-        if may:
-            self._send_direct(now)
-        if sure:
+            self._health.check(now, lease_valid)
+        if (self.cluster.dirty or self.planner.unfinished) and may_answer and now >= self._plan_not_before:
+            self._plan(now, lease_valid)
+        self._answer_heartbeats(now, lease_valid, may_answer)
+        if may_answer:
+            self._send_commands(now)
+        if lease_valid:
             self._records.persist(now)
             self._records.record(now)
 
-    def _plan(self, now: float, sure: bool) -> None:
-        """A long round is followed by a long rest: reports and leases come before planning.
+    def _plan(self, now: float, lease_valid: bool) -> None:
+        """Run one planning round, and rent machines at most every `RENT_GAP_S`.
 
-        By a longer one still if nothing changes: only moments can be reached then, pauses' ends and the like.
+        A long round is followed by a long pause, since reports and leases come before planning. The pause is longer
+        still if nothing changes: then only points in time can be reached, such as the end of a retry pause.
         """
         self.planner.notices(now)
         self.planner.work_most = self._pace.most()
@@ -330,43 +359,48 @@
         self.planner.place_all(now)
         self._pace.took(self.planner.work, self.clock() - began)
         self.planner.preempt(now)
-        if sure and now - self._rented_at >= c.RENT_GAP_S:
+        if lease_valid and now - self._rented_at >= c.RENT_GAP_S:
             self._rented_at = now
             self._rentals.rent(now)
-        elif not sure:
+        elif not lease_valid:
             self.planner.hold(now)
         took = self.clock() - now
-        self._plan_after = now + took + max(c.PLAN_GAP_S, c.PLAN_REST * took)
+        self._plan_not_before = now + took + max(c.PLAN_GAP_S, c.PLAN_REST * took)
         self.planner.look_after = now + took + c.PLAN_LOOK_REST * took
         if took > c.PLAN_LONG_S:
-            log.info("a round of planning took %.3f s", took)
+            log.info("planning round took %.3f s; heartbeats and commands waited meanwhile", took)
 
     def _refuse_heartbeats(self) -> None:
+        """Reply None to all pending heartbeats: this node is not entitled to answer them."""
         refused, self._heartbeats = self._heartbeats, []
         for waiting in refused:
             waiting.send_answers()
 
-    def _answer_heartbeats(self, now: float, sure: bool, may: bool) -> None:
-        if not may:
+    def _answer_heartbeats(self, now: float, lease_valid: bool, may_answer: bool) -> None:
+        if not may_answer:
             self._refuse_heartbeats()
             return
         answered, self._heartbeats = self._heartbeats, []
         for waiting in answered:
             for index, machine, seq in waiting.heartbeats:
-                waiting.answers[index] = self._answer(machine, seq, waiting.follower, sure, now)
+                waiting.answers[index] = self._answer(machine, seq, waiting.follower, lease_valid, now)
             waiting.send_answers()
 
-    def _answer(self, machine: Machine, seq: int, follower: str, sure: bool, now: float) -> dict[str, Any]:
-        """Orders for the newest report; its follower may answer the same again if nothing is left to be done."""
+    def _answer(self, machine: Machine, seq: int, follower: str, lease_valid: bool, now: float) -> dict[str, Any]:
+        """Return the answer to one heartbeat, with orders only if it is the machine's newest report.
+
+        If nothing is left to be done, the follower is granted to answer equal heartbeats of the machine itself.
+        """
         machine.answered_at = now
         newest = seq == machine.seq
-        orders = self.cluster.orders_for_heartbeat(machine, sure, now) if newest else []
+        orders = self.cluster.orders_for_heartbeat(machine, lease_valid, now) if newest else []
         answer = wire.report_answer(self.term.token, orders)
         if follower and newest and not orders and self.cluster.settled(machine):
             answer[GRANT] = self.cluster.delegations.grant(follower, machine.name)
         return answer
 
-    def _send_direct(self, now: float) -> None:
+    def _send_commands(self, now: float) -> None:
+        """Send new orders to the machines that were touched, without waiting for their next heartbeat."""
         touched, self.cluster.touched = self.cluster.touched, set()
         for machine in sorted(touched, key=lambda m: m.name):  # the same inputs give the same commands
             if machine.status is not Status.UP or machine.name in self.cluster.unaccounted:
@@ -375,12 +409,16 @@
                 self.cluster.touched.add(machine)
                 continue
             orders, launched = self.cluster.orders_direct(machine, now)
-            if orders or machine.unheard >= c.UNHEARD_MOST:  # without orders it tells whether it hears us again
+            if orders or machine.unheard >= c.UNHEARD_MOST:  # an empty command shows whether it receives from us again
                 machine.sending = True
                 self._leader_task.spawn(self._command, machine, machine.session, orders, launched)
 
     async def _command(self, machine: Machine, session: int, orders: list[dict[str, Any]], launched: list[Any]) -> None:
-        """`session`: the one the orders were made for. A later one must refuse them: what they launch was given up."""
+        """Send orders to one worker and enqueue the result. After a failure the next command waits for a pause.
+
+        `session` is the worker session that the orders were made for. A worker in a later session must refuse them,
+        since the launches in them were given up when the session changed.
+        """
         executed: bool | None = None
         report: Report | None = None
         pause, sent = 0.0, self.clock()
@@ -390,9 +428,9 @@
             executed, pause = False, c.COMMAND_S / 2
         except Lost:
             pause = c.COMMAND_S
-        self.command_loop.enqueue(lambda: self._commanded(machine, report, sent, launched, executed, pause))
+        self.command_loop.enqueue(lambda: self._on_command_result(machine, report, sent, launched, executed, pause))
 
-    def _commanded(
+    def _on_command_result(
         self, machine: Machine, report: Report | None, sent: float, launched: list[Any], executed: bool | None,
         pause: float,
     ) -> None:  # fmt: skip
--- a/pepperlatch/controller/leadership.py
+++ b/pepperlatch/controller/leadership.py
@@ -1,4 +1,8 @@
-"""Who leads: a key under a lease of the state service. The token is the revision of its write."""
+"""Leader election: the leader holds the key `store.LEADER` under a lease of the state service.
+
+The revision of the write that creates the key is the term's token. Workers refuse commands with a lower token than the
+highest that they have seen (fencing). All times are of the steady clock, in seconds.
+"""
 
 import logging
 import math
@@ -19,12 +23,12 @@
 
 @dataclass(slots=True)
 class Term:
-    """One time of leading, with the two proofs that what a leader does rests on.
+    """One term of leading, with the two proofs on which a leader's actions rest.
 
-    Authority: the lease of this token was alive; `lease_confirmed_at` is when the last confirmed check was sent.
-    Currency: this node's copy held all that was confirmed before a moment, the leader's key among it
-    (`Replica.current_at`). A touch of the lease says nothing of the copy: answers of a watch may be lost or slow while
-    touches are answered.
+    Authority: the lease of this token was alive. `lease_confirmed_at` is when the latest renewal that was confirmed was
+    sent. Currency: this node's copy held all that was confirmed before a point in time, the leader's key included
+    (`Replica.current_at`). A renewal of the lease says nothing about the copy: answers of the watch may be lost or slow
+    while renewals are answered.
     """
 
     token: int
@@ -33,40 +37,49 @@
     lease_extension_s: float
     replica: store.Replica
     over: bool = False
-    lease_confirmed_since: float = -math.inf  # no gap in the checks since then
-    attested_at: float = -math.inf  # the others were asked then, and made the copy as current as a reading
+    lease_confirmed_since: float = -math.inf  # confirmed renewals have had no gap since then
+    attested_at: float = -math.inf  # when attestations were requested that made the copy as current as a read
 
     def lease_valid(self, now: float) -> bool:
-        """The lease cannot have ended yet: what cannot be taken back is allowed."""
+        """Return whether the lease cannot have ended yet, so that actions that cannot be undone are allowed."""
         return (
             not self.over
             and now - self.lease_confirmed_at < c.LEADER_LEASE_MS / 1000 * (1 - c.CLOCK_DRIFT) - c.SURE_MARGIN_S
         )
 
     def copy_current_at(self) -> float:
-        """All that was confirmed before then is known here, by a reading or by what every other controller said."""
+        """Return the time before which all that was confirmed is known here, by a read or by attestations."""
         return max(self.replica.current_at, self.attested_at)
 
     def may_answer(self, now: float) -> bool:
-        """Heartbeats may be answered and tasks launched: what we keep alive is gone before a cancellation's bound.
+        """Return whether heartbeats may be answered and tasks launched.
 
-        Seen: a leader refused by the state service kept jobs alive, and started them anew, that were cancelled through
-        others, as soon as it could touch its lease again: its copy was older than that.
+        While this holds, tasks that are kept alive end within the bound for cancelled jobs. A valid lease is not
+        enough: a leader that the state service has refused may renew its lease again while its copy is still older than
+        cancellations that other controllers confirmed. It would keep those jobs alive and start them anew.
         """
         return not self.over and now < renewal_deadline(self.lease_extension_s, self.copy_current_at())
 
 
-def renewal_deadline(lease_extension_s: float, *proved_at: float) -> float:
-    """How long leases may be renewed on what was proven by requests sent at these moments: the oldest one counts."""
-    return min(proved_at) + lease_extension_s
+def renewal_deadline(lease_extension_s: float, *sent_at: float) -> float:
+    """Return until when tasks' leases may be renewed on proofs requested at these times; the oldest counts."""
+    return min(sent_at) + lease_extension_s
 
 
 def lease_extension_seconds(cancel_s: float, lease_s: float) -> float:
-    """G of `docs/safety.md` 6: what is answered so long after a proof is gone within `cancel_s` of that proof."""
+    """Return how long after a fresh read of the state service tasks' leases may still be renewed, in seconds.
+
+    A task that is renewed up to then ends within `cancel_s` of the read. This is G in `docs/safety.md`, section 6.
+    """
     return max(0.0, (cancel_s - lease_s * (1 + c.CLOCK_DRIFT)) * (1 - c.CLOCK_DRIFT) - c.HOLD_MARGIN_S)
 
 
 class Leadership:
+    """Takes part in elections for as long as the node runs, and keeps the lease while it leads.
+
+    `term` is the current term, None while this node does not lead. No election is entered before `no_election_until`.
+    """
+
     def __init__(
         self,
         node: str,
@@ -86,6 +99,7 @@
         self.no_election_until = 0.0
 
     async def run(self, on_term: Callable[[Term | None], None]) -> None:
+        """Run until cancelled; call `on_term` with each term that begins, and with None when it is over."""
         while True:
             try:
                 term = await self._try_to_win()
@@ -99,7 +113,7 @@
             self._state.share(True)
             log.info("leading with token %d", term.token)
             on_term(term)
-            await self._keep(term)
+            await self._keep_lease(term)
             term.over = True
             self.term = None
             self._state.share(False)
@@ -107,48 +121,53 @@
             on_term(None)
 
     async def _try_to_win(self) -> Term | None:
+        """Enter one election; None if another controller leads, or won, or this node may not lead now.
+
+        Raises Away, Unsure or LeaseGone if the state service does not answer as needed; the caller tries again.
+        """
         replica = self._replica
         if replica.loaded and replica.leader is not None and replica.leader[0] == self._node:
-            await self._end_earlier(replica.leader[1])
+            await self._end_earlier_term(replica.leader[1])
         if not replica.loaded or replica.leader is not None or self._clock() < self.no_election_until:
             return None
         await trio.sleep(self._random.random() * c.ELECTION_JITTER_S)
         if self._replica.leader is not None:
             return None
-        sent = self._clock()  # the lease runs from its grant, whose answer may have taken long
+        sent = self._clock()  # the lease may run from here on, since the answer to its grant may take long
         lease = await self._state.grant(c.LEADER_LEASE_MS)
         write: dict[str, Any] = wire.put(store.LEADER, {"node": self._node}, lease)
         try:
             outcome = await self._state.txn([wire.when(store.LEADER, 0)], [write], urgent=True)
-        except (Away, Unsure):  # if it comes to be applied nobody would lead until the lease ends
-            await self._give_back(lease)
+        except (Away, Unsure):  # if the write is applied later, nobody would lead until the lease ends
+            await self._revoke_lease(lease)
             raise
         if not outcome.applied:
             await self._state.revoke(lease)
             return None
         return Term(outcome.revision, lease, sent, self.lease_extension_s, replica)
 
-    async def _end_earlier(self, token: int) -> None:
-        """The key names this node, which does not lead: a term of the process before this one, or one given up.
+    async def _end_earlier_term(self, token: int) -> None:
+        """Delete a leader key that names this node although it does not lead.
 
-        Whoever wins next need not wait for its lease. Conditional on the key's version, so that a late copy of this
-        ends no later term.
+        It is left from an earlier process on this node, or from a term that was given up. The next election then need
+        not wait for its lease to expire. The deletion is conditional on the key's version, so that a delayed copy of
+        this request ends no later term.
         """
-        log.info("ending the term %d of an earlier life", token)
+        log.info("deleting this controller's stale leader key with token %d, so that an election can start", token)
         await self._state.txn([wire.when(store.LEADER, token)], [wire.delete(store.LEADER)], urgent=True)
-        await trio.sleep(c.STATE_RETRY_S)  # for the watch to show it
+        await trio.sleep(c.STATE_RETRY_S)  # until the watch shows the deletion
 
-    async def _give_back(self, lease: int) -> None:
+    async def _revoke_lease(self, lease: int) -> None:
         try:
             await self._state.revoke(lease)
         except (Away, Unsure):
-            log.info("lease %d could not be given back; it will end by itself", lease)
+            log.info("leader lease %d could not be revoked; it will expire by itself", lease)
 
-    async def _keep(self, term: Term) -> None:
-        """Touch the lease until it is lost; nothing but a proof of loss ends a term.
+    async def _keep_lease(self, term: Term) -> None:
+        """Renew the lease until the term is over; a renewal without an answer does not end the term.
 
-        A touch does not wait for the one before: while every answer takes a second, one that gives up after half of it
-        would never prove what the service grants all the time.
+        A renewal does not wait for the one before. If it did, and gave up after half a second while every answer takes
+        a whole one, renewals that the service grants would never be confirmed.
         """
         async with trio.open_nursery() as nursery:
             while not term.over:
@@ -169,7 +188,7 @@
             return
 
     def check_leader_key(self) -> None:
-        """Called after every change of the replica: a key that is not ours any more ends the term."""
+        """End the term if the leader key is no longer ours; called after every change of the replica."""
         term, leader = self.term, self._replica.leader
         if term is None or self._replica.revision < term.token:
             return
@@ -177,10 +196,10 @@
             term.over = True
 
     async def resign(self, pause_s: float) -> None:
-        """Give the lease back, and let others win for a while."""
+        """End the term, revoke the lease, and enter no election for `pause_s` seconds so that another can win."""
         term = self.term
         if term is None:
             return
         self.no_election_until = self._clock() + pause_s
         term.over = True
-        await self._give_back(term.lease)
+        await self._revoke_lease(term.lease)
