--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -154,10 +154,10 @@
             if entry.state not in wire.FINAL:
                 self._add_job(job_id)
             elif entry.record.state == entry.state.value:
-                self._records.tidy(job_id)
+                self._records.delete_leftovers(job_id)
         for pair in pairs:
-            if pair.key == store.TURN:
-                self.writer.turn = pair.version
+            if pair.key == store.WRITE_FENCE:
+                self.writer.fence_version = pair.version
             elif pair.key.startswith(store.MACHINE):
                 self._load_machine(pair.key[len(store.MACHINE) :], wire.convert(pair.value, store.MachineRecord), now)
         for job_id in self.replica.cancelled_recently(now - self.settings.params.workers.cancel_s):
@@ -261,7 +261,7 @@
                 self.cluster.end_job(job_id, self.clock(), entry.state is wire.JobState.DONE)
                 self.cluster.listener.job(job_id, entry.state.value, self.clock())
                 if entry.record.state == entry.state.value:
-                    self._records.tidy(job_id)
+                    self._records.delete_leftovers(job_id)
             elif known is None:
                 self._add_job(job_id)
             else:
@@ -344,8 +344,8 @@
         if may_answer:
             self._send_commands(now)
         if lease_valid:
-            self._records.persist(now)
-            self._records.record(now)
+            self._records.record_tasks(now)
+            self._records.record_machines(now)
 
     def _plan(self, now: float, lease_valid: bool) -> None:
         """Run one planning round, and rent machines at most every `RENT_GAP_S`.
--- a/pepperlatch/controller/records.py
+++ b/pepperlatch/controller/records.py
@@ -1,4 +1,4 @@
-"""What a leader keeps in the state service besides hires: machines, and which tasks are done."""
+"""What a leader records in the state service besides hires: machines, finished tasks and finished jobs."""
 
 import logging
 from collections.abc import Callable
@@ -16,30 +16,37 @@
 
 
 class Records:
+    """Queues the records' writes; called in the command loop after each batch, while the leader's lease is valid.
+
+    `on_recorded` is called in the command loop with the name of each machine whose record the state service holds.
+    """
+
     def __init__(self, leader_task: LeaderTask, on_recorded: Callable[[str], None]) -> None:
         self._leader_task = leader_task
         self._on_recorded = on_recorded
-        self._persist_at = 0.0
-        self._tidied: set[str] = set()
+        self._tasks_saved_at = 0.0
+        self._leftovers_deleted: set[str] = set()
 
-    def record(self, now: float) -> None:
+    def record_machines(self, now: float) -> None:
+        """Queue the records of all machines in `Cluster.to_record`."""
         for machine in sorted(self._leader_task.cluster.to_record, key=lambda m: m.name):
             record = store.MachineRecord(machine.addr, machine.type.name, machine.zone, machine.spot, machine.draining)
             changes = [wire.put(store.MACHINE + machine.name, wire.to_plain(record))]
-            self._leader_task.writer.add(Write(changes, partial(self._recorded, machine.name)))
+            self._leader_task.writer.add(Write(changes, partial(self._machine_write_done, machine.name)))
         self._leader_task.cluster.to_record.clear()
 
-    def _recorded(self, name: str, applied: bool) -> None:
-        self._leader_task.command_loop.enqueue(lambda: self._now_recorded(name))
+    def _machine_write_done(self, name: str, applied: bool) -> None:
+        self._leader_task.command_loop.enqueue(lambda: self._on_machine_recorded(name))
 
-    def _now_recorded(self, name: str) -> None:
+    def _on_machine_recorded(self, name: str) -> None:
         self._leader_task.cluster.recorded(name, self._leader_task.clock())
         self._on_recorded(name)
 
-    def persist(self, now: float) -> None:
+    def record_tasks(self, now: float) -> None:
+        """Record jobs whose tasks are all finished, and every `PERSIST_GAP_S` the finished tasks of the others."""
         if not self._leader_task.cluster.unsaved:
             return
-        partly = now - self._persist_at >= c.PERSIST_GAP_S
+        save_partial = now - self._tasks_saved_at >= c.PERSIST_GAP_S
         for job_id in list(self._leader_task.cluster.unsaved):
             job = self._leader_task.cluster.jobs.get(job_id)
             if job is None or job.over:
@@ -48,54 +55,55 @@
                 continue
             elif len(job.done) == job.spec.tasks:
                 self._finish(job)
-            elif partly and len(job.saved) < len(job.done):
-                self._persist_at = now
+            elif save_partial and len(job.saved) < len(job.done):
+                self._tasks_saved_at = now
                 self._save_tasks(job)
 
     def _finish(self, job: Job) -> None:
-        """The job is over; nobody is told before the state service holds that."""
+        """Record the job as done; users are told so only once the state service holds that."""
         job_id = job.spec.id
         job.finishing = True
         record = store.JobRecord(JobState.DONE.value, tasks=job.spec.tasks, ended=self._leader_task.wall())
         changes = [wire.put(store.JOB + job_id, wire.to_plain(record))]
 
-        def done(applied: bool) -> None:
-            changed = "" if applied else ", but it was changed meanwhile"
+        def on_outcome(applied: bool) -> None:
+            changed = "" if applied else ", not recorded: its record was changed meanwhile, as by a cancellation"
             log.info("job %s done%s", job_id, changed, extra={"job": job_id})
             job.finishing = False
 
-        self._leader_task.writer.add(Write(changes, done, [wire.when(store.JOB + job_id, job.version)]))
+        self._leader_task.writer.add(Write(changes, on_outcome, [wire.when(store.JOB + job_id, job.version)]))
         self._leader_task.cluster.unsaved.discard(job_id)
 
-    def tidy(self, job_id: str) -> None:
-        """What was kept of a job that is over goes in portions, after its final state is stored and never before."""
-        if job_id not in self._tidied:
+    def delete_leftovers(self, job_id: str) -> None:
+        """Delete a finished or cancelled job's other keys, one write each; only after its final state is stored."""
+        if job_id not in self._leftovers_deleted:
             keys = self._leader_task.replica.leftover_keys(job_id)
             if keys:
-                self._tidied.add(job_id)
+                self._leftovers_deleted.add(job_id)
             for key in keys:
-                self._leader_task.writer.add(Write([wire.delete(key)], lambda applied: None), later=True)
+                self._leader_task.writer.add(Write([wire.delete(key)], lambda applied: None), deferred=True)
 
     def _save_tasks(self, job: Job) -> None:
-        """Each value is conditional on its version, so that a late older write cannot undo a newer.
+        """Record finished tasks of an unfinished job, as many values as one transaction takes; the rest follows.
 
-        As many at once as one transaction takes; the rest follows.
+        Each value is conditional on the version it replaces, so that a delayed older write cannot undo a newer one.
         """
         job.finishing = True
         limits = self._leader_task.settings.params.state
         replica = self._leader_task.replica
-        savings = store.done_task_writes(replica, job.spec.id, job.done, job.saved, limits.value_kb)
-        savings = savings[: self._leader_task.writer.later_most()]
-        when = [wire.when(saving.key, saving.version) for saving in savings]
-        changes = [wire.put(saving.key, saving.value) for saving in savings]
-        tasks = set().union(*(saving.tasks for saving in savings))
+        task_writes = store.done_task_writes(replica, job.spec.id, job.done, job.saved, limits.value_kb)
+        task_writes = task_writes[: self._leader_task.writer.max_deferred_changes()]
+        conditions = [wire.when(task_write.key, task_write.version) for task_write in task_writes]
+        changes = [wire.put(task_write.key, task_write.value) for task_write in task_writes]
+        tasks = set().union(*(task_write.tasks for task_write in task_writes))
 
-        def done(applied: bool) -> None:
+        def on_outcome(applied: bool) -> None:
             self._leader_task.command_loop.enqueue(lambda: self._saved(job, tasks if applied else set()))
 
-        self._leader_task.writer.add(Write(changes, done, when), later=True)
+        self._leader_task.writer.add(Write(changes, on_outcome, conditions), deferred=True)
 
     def _saved(self, job: Job, tasks: set[int]) -> None:
+        """Take in the outcome of `_save_tasks`: `tasks` are those that were recorded, none if the write failed."""
         job.finishing = False
         tasks |= self._leader_task.replica.done_tasks(job.spec.id)
         job.saved |= tasks
--- a/pepperlatch/controller/store.py
+++ b/pepperlatch/controller/store.py
@@ -1,11 +1,14 @@
-"""Keys and records in the state service, and this node's copy of those that every node watches.
+"""Keys and records in the state service, and this node's copy of the keys that every node watches.
 
-`j/` is watched by all: the leader's key, jobs, finished tasks, machine types, operators' settings.
-`f/` is the leader's alone: hires and machines. It is read on taking over only.
+Keys below `j/` are watched by all controllers: the leader's key, jobs, finished tasks, machine types and operators'
+settings. Keys below `f/` are the leader's alone: hires, machines and its write fence. They are read only on taking
+over.
 
-Two versions run side by side while a new one is rolled out, so a record only ever gains optional fields, and a
-key below a prefix that an earlier version knows keeps its meaning. What one value cannot hold stands in pieces
-below prefixes of their own (`j/part/`, `j/fine/`, `j/types/`), which earlier versions ignore.
+Two versions run side by side during a rollout. So a record only ever gains optional fields, and a key below a prefix
+that an earlier version knows keeps its meaning. What does not fit into one value is stored in pieces below separate
+prefixes (`j/part/`, `j/fine/`, `j/types/`), which earlier versions ignore.
+
+Times are of the node's steady clock in seconds, except in records, where they are times of day.
 """
 
 import base64
@@ -32,11 +35,11 @@
 TYPES = "j/types"
 TUNING = "j/tuning"
 JOB = "j/job/"
-DONE = "j/done/"
-DONE_FINE = "j/fine/"
-PART = "j/part/"
+DONE = "j/done/"  # bitmaps of finished tasks, `BITMAP_CHUNK_TASKS` tasks each
+DONE_FINE = "j/fine/"  # the same with `FINE_CHUNK_TASKS` tasks each, for values too small for a chunk of `DONE`
+PART = "j/part/"  # pieces of long job descriptions
 FLEET = "f/"
-TURN = "f/turn"
+WRITE_FENCE = "f/turn"  # written to make sure that no earlier transaction without an answer is applied; see writer.py
 HIRE = "f/hire/"
 MACHINE = "f/machine/"
 
@@ -48,18 +51,20 @@
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True, gc=False):
-    """What lasts of a job; the description is dropped once the job is over."""
+    """The stored record of a job. The description is dropped once the job is done."""
 
     state: str
     spec: wire.JobSpec | None = None
     tasks: int = 0
     at: float = 0.0  # time of day of the submission, by the accepting node's clock
-    parts: int = 0  # pieces below `PART` that hold the description instead
+    parts: int = 0  # number of pieces below `PART` that hold the description instead of `spec`
     ended: float = 0.0  # time of day when it was done or cancelled, by the writer's clock; 0 in older records
-    run: str = ""  # the run of a pipeline that created it; not kept once it is over
+    run: str = ""  # the pipeline run that created it; dropped once the job is over
 
 
 class MachineRecord(msgspec.Struct):
+    """The stored record of a rented machine that has reported; `draining` is the reason why it is drained, if it is."""
+
     addr: str
     type: str
     zone: str
@@ -68,6 +73,8 @@
 
 
 class HireRecord(msgspec.Struct):
+    """The stored record of a request to rent `count` machines, written before the cloud is asked."""
+
     type: str
     zone: str
     spot: bool
@@ -75,16 +82,19 @@
 
 
 class Cancellation(NamedTuple):
-    """A cancelled job as this node learned of it."""
+    """A job's cancellation: the version of its record, and when this node learned of it."""
 
     version: int
     job_id: str
     learned_at: float
-    after: float  # no user was told before then: this node's copy was current and did not show it
+    not_before: float  # no user was told before then, since this node's copy was current then and did not show it
 
 
 class JobEntry(msgspec.Struct, gc=False):
-    """A watched job: its record, the version of its key, and the cancelled job (itself, too) that ends it, if any."""
+    """A watched job: its record and the version of its key.
+
+    `through` is the cancelled job, itself or one that it needs, that ends the job; None if it is not cancelled.
+    """
 
     record: JobRecord
     version: int
@@ -92,36 +102,46 @@
 
     @property
     def state(self) -> wire.JobState:
-        """The one place that says whether a job is over. What needs a cancelled job is cancelled by that alone."""
+        """The job's state; all code must ask here whether a job is over.
+
+        A job that needs a cancelled job is cancelled, although its own record does not say so.
+        """
         return wire.JobState.CANCELLED if self.through is not None else wire.JobState(self.record.state)
 
 
 @dataclass(slots=True)
 class Replica:
-    """This node's copy of the watched keys, always at one revision."""
+    """This node's copy of the watched keys, always at one revision.
+
+    `done` and `done_fine` map a job to its chunks of finished tasks: chunk number to bitmap and version. `parts` maps a
+    job to the pieces of its description. `leader` is the leader's node name and token, `tuning` the operators' settings
+    and their version.
+    """
 
     revision: int = 0
     loaded: bool = False
-    current_at: float = -math.inf  # it holds all that was confirmed before: when the read that proved that was sent
+    current_at: float = -math.inf  # all that was confirmed before then is in the copy: when the latest read was sent
     jobs: dict[str, JobEntry] = field(default_factory=dict)
-    done: dict[str, dict[int, tuple[bytes, int]]] = field(default_factory=dict)  # chunks, as every version writes them
-    done_fine: dict[str, dict[int, tuple[bytes, int]]] = field(default_factory=dict)  # finer ones, for small values
-    parts: dict[str, dict[int, str]] = field(default_factory=dict)  # of long descriptions
+    done: dict[str, dict[int, tuple[bytes, int]]] = field(default_factory=dict)  # read by every version
+    done_fine: dict[str, dict[int, tuple[bytes, int]]] = field(default_factory=dict)
+    parts: dict[str, dict[int, str]] = field(default_factory=dict)
     prerequisites: Prerequisites = field(default_factory=Prerequisites)
     leader: tuple[str, int] | None = None
     type_pieces: dict[int, list[wire.MachineType]] = field(default_factory=dict)
     tuning: tuple[dict[str, Any], int] = field(default_factory=lambda: ({}, 0))
-    _cancelled: deque[Cancellation] = field(default_factory=deque)  # the latest last
-    _cancelled_by_job: dict[str, Cancellation] = field(default_factory=dict)  # the same
-    _cancelled_from: int = 0  # those of later versions are all in it
-    _cancelled_after: float = -math.inf  # those learned later are all in it
-    _versions: dict[str, int] = field(default_factory=dict)  # of all keys but jobs': their entries hold theirs
-    _finished: dict[tuple[str, int], JobRecord] = field(default_factory=dict)
+    _cancelled: deque[Cancellation] = field(default_factory=deque)  # in the order in which they were learned
+    _cancelled_by_job: dict[str, Cancellation] = field(default_factory=dict)  # those of `_cancelled`, by job
+    _cancelled_complete_after_version: int = 0  # `_cancelled` has all of later versions
+    _cancelled_complete_after: float = -math.inf  # `_cancelled` has all that were learned later
+    _versions: dict[str, int] = field(default_factory=dict)  # of all keys but jobs, whose entries hold theirs
+    _shared_done_records: dict[tuple[str, int], JobRecord] = field(default_factory=dict)
 
     def reload(self, revision: int, pairs: list[wire.KeyValue], at: float = math.inf) -> set[str]:
-        """Take a fresh reading (after 410 or at the start); the job ids it touched.
+        """Replace the copy by a full read, and return the ids of the jobs that changed.
 
-        Its pages may be newer than its revision; the changes replayed on top are told apart by version.
+        Needed at the start, and when the state service no longer keeps the changes since this copy (410). The pages of
+        a read may be newer than its revision; changes that follow and are already known are recognized by their
+        version. `at` is when the answer arrived.
         """
         present = {pair.key for pair in pairs if not pair.key.startswith(JOB)}  # jobs are never deleted
         touched: set[str] = set()
@@ -137,7 +157,11 @@
         return touched
 
     def apply(self, changes: wire.Changes, at: float = math.inf) -> set[str]:
-        """Several reads may be under way: what an earlier answer told is known, and may have been deleted since."""
+        """Apply changes that were read at `at`, and return the ids of the jobs that changed.
+
+        Several reads may be in flight, so changes up to this copy's revision are skipped: they are known, and their
+        keys may have been deleted since.
+        """
         touched: set[str] = set()
         for event in changes.events:
             if event.version <= self.revision:
@@ -150,21 +174,21 @@
         return touched
 
     def _put(self, key: str, value: Any, version: int, at: float) -> set[str]:
-        """`at`: when this node learned of it."""
+        """Store one key's value, unless a later version is known; `at` is when this node learned of it."""
         if key.startswith(JOB):
             return self._put_job(key[len(JOB) :], value, version, at)
         if self._versions.get(key, 0) >= version:
             return set()
         self._versions[key] = version
         if key.startswith(PART):
-            job_id, number = _numbered(key, PART)
+            job_id, number = _split_numbered_key(key, PART)
             self.parts.setdefault(job_id, {})[number] = value["text"]
             return self._job_changed(job_id) if job_id in self.jobs else set()
         if key.startswith(DONE):
-            job_id, chunk = _numbered(key, DONE)
+            job_id, chunk = _split_numbered_key(key, DONE)
             self.done.setdefault(job_id, {})[chunk] = (base64.b64decode(value["bits"]), version)
         elif key.startswith(DONE_FINE):
-            job_id, chunk = _numbered(key, DONE_FINE)
+            job_id, chunk = _split_numbered_key(key, DONE_FINE)
             self.done_fine.setdefault(job_id, {})[chunk] = (base64.b64decode(value["bits"]), version)
         elif key == LEADER:
             self.leader = (value["node"], version)
@@ -185,10 +209,10 @@
         self.jobs[job_id] = JobEntry(record, version, self.prerequisites.through.get(job_id))
         touched = self._job_changed(job_id)
         if record.state == wire.JobState.DONE.value and record.spec is None:
-            # There are more of these than of anything else, and what they say is mostly the same; when each was done
-            # the chain holds.
+            # Done jobs are the most numerous and their records mostly equal, so they share one. `prerequisites` keeps
+            # when each was done.
             shared = JobRecord(wire.JobState.DONE.value, tasks=record.tasks)
-            self.jobs[job_id].record = self._finished.setdefault((shared.state, shared.tasks), shared)
+            self.jobs[job_id].record = self._shared_done_records.setdefault((shared.state, shared.tasks), shared)
         return touched
 
     def _remember_cancelled(self, cancellation: Cancellation) -> None:
@@ -197,11 +221,11 @@
         if len(self._cancelled) > c.VOUCH_KEPT:
             left_out = self._cancelled.popleft()
             self._cancelled_by_job.pop(left_out.job_id, None)
-            self._cancelled_from = max(self._cancelled_from, left_out.version)
-            self._cancelled_after = max(self._cancelled_after, left_out.learned_at)
+            self._cancelled_complete_after_version = max(self._cancelled_complete_after_version, left_out.version)
+            self._cancelled_complete_after = max(self._cancelled_complete_after, left_out.learned_at)
 
     def _job_changed(self, job_id: str) -> set[str]:
-        """Draw the consequences for all that needs the job; the jobs touched."""
+        """Update the jobs that need this one, and return the ids of all jobs that changed, itself included."""
         entry = self.jobs[job_id]
         record = entry.record
         if record.spec is None and record.parts:
@@ -212,7 +236,7 @@
             over = self.prerequisites.cancel(job_id, job_id)
         elif record.spec is not None:
             over = self.prerequisites.add(
-                job_id, record.spec.needs or (), _own(record.spec, record.at), record.spec.estimate_s
+                job_id, record.spec.needs or (), _own_standing(record.spec, record.at), record.spec.estimate_s
             )
         else:
             return {job_id}
@@ -229,64 +253,70 @@
             return
         for held, prefix in ((self.done, DONE), (self.done_fine, DONE_FINE), (self.parts, PART)):
             if key.startswith(prefix):
-                job_id, number = _numbered(key, prefix)
+                job_id, number = _split_numbered_key(key, prefix)
                 held.get(job_id, {}).pop(number, None)
                 self._versions.pop(key, None)
 
     def learn(self, rows: list[tuple[str, Any, int]], at: float = math.inf) -> set[str]:
-        """Records of jobs that were confirmed and not read yet: what a reading will show again, in time."""
+        """Apply job records that the state service has confirmed before a read shows them; return the jobs that
+        changed.
+
+        `rows` holds job id, record and version; a later read shows them again.
+        """
         touched: set[str] = set()
         for job_id, value, version in rows:
             touched |= self._put_job(job_id, value, version, at)
         return touched
 
     def cancelled_since(self, revision: int) -> list[tuple[int, str]] | None:
-        """All jobs known to be cancelled by a later revision; None if that is not kept so far back."""
-        if revision < self._cancelled_from:
+        """Return version and id of all jobs cancelled after `revision`; None if they aren't remembered so far back."""
+        if revision < self._cancelled_complete_after_version:
             return None
         return sorted((known.version, known.job_id) for known in self._cancelled if known.version > revision)
 
     def cancelled_recently(self, since: float) -> list[str]:
-        """All jobs that may have been cancelled since then, i.e. were learned of since.
+        """Return all jobs whose cancellation this node learned of since then, so those that may have happened since.
 
-        If that is not kept so far back, all that ever were.
+        All that were ever cancelled, if cancellations aren't remembered so far back.
         """
-        if since <= self._cancelled_after:
+        if since <= self._cancelled_complete_after:
             over = wire.JobState.CANCELLED.value
             return [job_id for job_id, entry in self.jobs.items() if entry.record.state == over]
         return list(dict.fromkeys(known.job_id for known in self._cancelled if known.learned_at >= since))
 
     def cancelling_job(self, job_id: str) -> str | None:
-        """The cancelled job, itself or one that it needs, that ends the job; None if it is not cancelled."""
+        """Return the cancelled job, itself or one that it needs, that ends the job; None if it is not cancelled."""
         entry = self.jobs.get(job_id)
         if entry is None or entry.state is not wire.JobState.CANCELLED:
             return None
         return entry.through or job_id
 
     def cancellation_not_before(self, job_id: str) -> float | None:
-        """No user was told before then that this job was cancelled; None if this node's readings cannot tell.
+        """Return the time before which no user was told that this job was cancelled; None if this node does not know.
 
-        They cannot if it was cancelled before this node began, or so many jobs ago that it is not remembered.
+        That is so if it was cancelled before this node started, or so many cancellations ago that it is not remembered.
         """
         known = self._cancelled_by_job.get(job_id)
-        return known.after if known is not None and math.isfinite(known.after) else None
+        return known.not_before if known is not None and math.isfinite(known.not_before) else None
 
-    # --- what follows from it ---------------------------------------------------------------------
+    # --- derived values ----------------------------------------------------------------------------
 
     @property
     def types(self) -> list[wire.MachineType]:
         return [kind for number in sorted(self.type_pieces) for kind in self.type_pieces[number]]
 
     def ready(self, job_id: str) -> bool:
-        """Whether the records of all jobs that it needs say done; nobody's belief counts before that."""
+        """Return whether all jobs that it needs are recorded as done; what is not recorded yet does not count."""
         return not self.prerequisites.waits_for(job_id)
 
     def waiting_for_others(self) -> int:
+        """Return how many unfinished jobs wait for others that they need."""
         return sum(
             1 for job in self.prerequisites.needs if self.jobs[job].state not in wire.FINAL and not self.ready(job)
         )
 
     def done_tasks(self, job_id: str) -> set[int]:
+        """Return the job's finished tasks as far as they are recorded."""
         tasks: set[int] = set()
         for held, size in ((self.done, c.BITMAP_CHUNK_TASKS), (self.done_fine, c.FINE_CHUNK_TASKS)):
             for chunk, (bits, _) in held.get(job_id, {}).items():
@@ -294,7 +324,7 @@
         return tasks
 
     def leftover_keys(self, job_id: str) -> list[str]:
-        """Keys of a job that is over which nobody needs any more."""
+        """Return the keys of a job's finished tasks and description pieces, to be deleted once the job is over."""
         return [
             f"{prefix}{job_id}/{number}"
             for held, prefix in ((self.done, DONE), (self.done_fine, DONE_FINE), (self.parts, PART))
@@ -302,37 +332,43 @@
         ]
 
 
-def _numbered(key: str, prefix: str) -> tuple[str, int]:
+def _split_numbered_key(key: str, prefix: str) -> tuple[str, int]:
+    """Split PREFIX JOB/NUMBER into job and number."""
     job_id, _, number = key[len(prefix) :].rpartition("/")
     return job_id, int(number)
 
 
-def _own(spec: wire.JobSpec, at: float) -> Standing:
+def _own_standing(spec: wire.JobSpec, at: float) -> Standing:
+    """Return how urgent the job is by itself, if it was submitted at `at` (time of day)."""
     return Standing(wire.RANK[spec.priority], at + spec.deadline_s if spec.deadline_s else math.inf)
 
 
 def compact(pair: wire.KeyValue) -> wire.KeyValue:
-    """A pair that is kept until all pages are read: a job's as its record, which is a fraction of its JSON."""
+    """Convert a job's value to its record, which needs a fraction of the memory of the JSON.
+
+    Applied to each pair of a full read, since all are kept until the last page has been read.
+    """
     if pair.key.startswith(JOB):
         pair.value = wire.convert(pair.value, JobRecord)
         pair.value.state = sys.intern(pair.value.state)
     return pair
 
 
-# --- values that have to fit ----------------------------------------------------------------------
+# --- limits of a value's size ----------------------------------------------------------------------
 
 
 def fits_value(value: Any, value_kb: float) -> bool:
+    """Return whether the encoded value fits into the state service's limit of `value_kb` KiB, with some slack."""
     return len(orjson.dumps(value)) <= value_kb * 1024 - c.VALUE_SLACK_BYTES
 
 
 def split_text(text: str, size: int) -> list[str]:
-    """In pieces of at most `size` characters."""
+    """Split the text into pieces of at most `size` characters."""
     return [text[start : start + size] for start in range(0, len(text), size)]
 
 
 def description_parts(spec: wire.JobSpec, value_kb: float) -> list[str]:
-    """The description as text in pieces that each fit one value; none if the job's own record can hold it."""
+    """Return the description as text in pieces that each fit one value; none if the job's own record can hold it."""
     plain = orjson.dumps(wire.to_plain(spec))
     if len(plain) <= value_kb * 1024 - c.RECORD_BYTES:
         return []
@@ -341,7 +377,7 @@
 
 
 def joined_description(parts: dict[int, str], count: int) -> wire.JobSpec | None:
-    """The description, if all its pieces are there."""
+    """Return the description from its pieces, or None while some of the `count` pieces are missing."""
     if any(number not in parts for number in range(count)):
         return None
     text = "".join(parts[number] for number in range(count))
@@ -350,14 +386,17 @@
 
 
 def creation_changes(spec: wire.JobSpec, parts: list[str], at: float, run: str = "") -> list[dict[str, Any]]:
-    """The changes that make a job known."""
+    """Return the writes that create a job: its record and the pieces of its description. `at` is the time of day."""
     record = JobRecord(wire.JobState.QUEUED.value, None if parts else spec, spec.tasks, at, len(parts), run=run)
     changes = [wire.put(JOB + spec.id, wire.to_plain(record))]
     return changes + [wire.put(f"{PART}{spec.id}/{n}", {"text": text}) for n, text in enumerate(parts)]
 
 
 def cancelled_record(record: JobRecord, value_kb: float, ended: float) -> JobRecord:
-    """What stays of a job cancelled at that time of day; of a long description only what its last tasks count by."""
+    """Return the record of a job cancelled at `ended` (time of day).
+
+    A description too long for one value keeps only what the usage of the job's last tasks is counted by.
+    """
     held = JobRecord(wire.JobState.CANCELLED.value, record.spec, record.tasks, record.at, ended=ended)
     if record.spec is not None and not fits_value(wire.to_plain(held), value_kb):
         held.spec = msgspec.structs.replace(record.spec, types=None, needs=None, zone=None, image="", job_class="")
@@ -365,7 +404,10 @@
 
 
 def type_changes(types: list[wire.MachineType], known: int, value_kb: float) -> list[dict[str, Any]]:
-    """The machine types, in as many values as it takes; `known` pieces are there already."""
+    """Return the writes that store the machine types, in as many values as needed.
+
+    `known` is the number of values stored already; those that are no longer needed are emptied.
+    """
     pieces: list[list[wire.MachineType]] = [[]]
     for kind in types:
         if pieces[-1] and not fits_value({"types": wire.to_plain([*pieces[-1], kind])}, value_kb):
@@ -377,11 +419,12 @@
 
 
 def tasks_in_bitmap(bits: bytes, first: int) -> set[int]:
+    """Return the tasks whose bits are set; the lowest bit of the first byte is task `first`."""
     return {first + 8 * byte + bit for byte, value in enumerate(bits) if value for bit in range(8) if value >> bit & 1}
 
 
 def bitmap(tasks: set[int], first: int, count: int) -> dict[str, str]:
-    """Which of the tasks `first` to `first + count - 1` are among the given."""
+    """Return the stored bitmap of those given tasks that are from `first` to `first + count - 1`."""
     mine = [task - first for task in tasks if first <= task < first + count]
     bits = bytearray(max(mine, default=-1) // 8 + 1)
     for task in mine:
@@ -391,7 +434,7 @@
 
 @dataclass(slots=True)
 class DoneTasksWrite:
-    """One value of finished tasks: its key, the version it follows, and the tasks it holds."""
+    """One write of a chunk of finished tasks: its key, the version that it replaces (0: none), and the tasks in it."""
 
     key: str
     version: int
@@ -402,23 +445,26 @@
 def done_task_writes(
     replica: Replica, job_id: str, done: set[int], saved: set[int], value_kb: float
 ) -> list[DoneTasksWrite]:
-    """The values that keep what is done and not saved yet.
+    """Return the writes that record finished tasks that are not recorded yet.
 
-    The chunks that every version reads, where they fit; finer ones else. A chunk that was stored while values
-    could be larger stays as it is.
+    They use the chunks that every version reads where these fit into a value, else smaller ones. A chunk that was
+    stored while values could be larger stays as it is.
     """
     found: list[DoneTasksWrite] = []
     for chunk in sorted({task // c.BITMAP_CHUNK_TASKS for task in done - saved}):
-        saving = _saving(replica.done, DONE, job_id, done, chunk, c.BITMAP_CHUNK_TASKS)
-        if fits_value(saving.value, value_kb):
-            found.append(saving)
+        write = _done_tasks_write(replica.done, DONE, job_id, done, chunk, c.BITMAP_CHUNK_TASKS)
+        if fits_value(write.value, value_kb):
+            found.append(write)
             continue
-        done_fine = {task // c.FINE_CHUNK_TASKS for task in (done - saved) & saving.tasks}
-        found += [_saving(replica.done_fine, DONE_FINE, job_id, done, n, c.FINE_CHUNK_TASKS) for n in sorted(done_fine)]
+        fine_chunks = {task // c.FINE_CHUNK_TASKS for task in (done - saved) & write.tasks}
+        found += [
+            _done_tasks_write(replica.done_fine, DONE_FINE, job_id, done, n, c.FINE_CHUNK_TASKS)
+            for n in sorted(fine_chunks)
+        ]
     return found
 
 
-def _saving(
+def _done_tasks_write(
     held: dict[str, dict[int, tuple[bytes, int]]], prefix: str, job_id: str, done: set[int], chunk: int, size: int
 ) -> DoneTasksWrite:
     version = held[job_id][chunk][1] if chunk in held.get(job_id, {}) else 0
@@ -427,25 +473,28 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Sync:
-    """Somebody who waits for a read that begins later than now."""
+class _PendingSync:
+    """A caller of `sync` that waits for a read that begins after its call; `succeeded` is valid once `finished`."""
 
-    settled: trio.Event = field(default_factory=trio.Event)
-    good: bool = False
+    finished: trio.Event = field(default_factory=trio.Event)
+    succeeded: bool = False
 
 
 class StateWatcher:
-    """Keeps the replica current, and answers reads that must not be older than their question."""
+    """Keeps the replica current, and serves reads that must not be older than their request (`sync`).
+
+    `on_change` is called with the ids of the jobs that changed, after every change of the replica.
+    """
 
     def __init__(self, state: StateClient, replica: Replica, on_change: Callable[[set[str]], None]) -> None:
         self._state = state
         self.replica = replica
         self._on_change = on_change
-        self._waiting: list[_Sync] = []
-        self._wanted = trio.Event()
+        self._pending_syncs: list[_PendingSync] = []
+        self._sync_requested = trio.Event()
 
     async def watch(self) -> None:
-        """Follow all changes for ever."""
+        """Follow all changes until cancelled, by long polls; after an error, try again after a pause."""
         while True:
             try:
                 if not self.replica.loaded:
@@ -457,7 +506,10 @@
                 await trio.sleep(c.STATE_RETRY_S)
 
     async def _read(self, wait_ms: int) -> bool:
-        """Take in what changed; False if the service no longer keeps changes so old."""
+        """Read and apply changes, waiting for one up to `wait_ms`; False if the service no longer keeps changes so old.
+
+        Raises Away or Unsure if the state service does not answer.
+        """
         sent = trio.current_time()
         changes = await self._state.changes(WATCHED, self.replica.revision, wait_ms)
         if changes is None:
@@ -468,60 +520,68 @@
         return True
 
     def learn(self, rows: list[tuple[str, Any, int]]) -> None:
-        """What this node or another has had confirmed; from here on every answer of this node goes by it."""
+        """Apply job records that this node or another one has had confirmed; later answers reflect them."""
         if rows:
             self._on_change(self.replica.learn(rows, trio.current_time()))
 
     async def _reload(self) -> None:
+        """Read all watched keys anew."""
         revision, pairs = await self._state.read_all(WATCHED, compact)
         self._on_change(self.replica.reload(revision, pairs, trio.current_time()))
 
     async def sync(self) -> None:
-        """Return once the replica holds all that was written before this call; Away if it can't, or not in time."""
+        """Return once the replica holds all that was written before this call.
+
+        Raises Away if the state service is unreachable or does not answer within `SYNC_WAIT_S`.
+        """
         if not self.replica.loaded or not self._state.reachable():
             raise Away("no current reading of the state service")
-        reading = _Sync()
-        self._waiting.append(reading)
-        self._wanted.set()
+        reading = _PendingSync()
+        self._pending_syncs.append(reading)
+        self._sync_requested.set()
         with trio.move_on_after(c.SYNC_WAIT_S):
-            await reading.settled.wait()
-        if not reading.good:
+            await reading.finished.wait()
+        if not reading.succeeded:
             raise Away("no current reading of the state service")
 
     async def serve_syncs(self) -> None:
-        """One read for all that wait at its start; a slow one holds up few of those that come later."""
+        """Run reads for callers of `sync` until cancelled, each for all callers that wait when it starts.
+
+        A slow read does not block later callers, since up to `SYNCS_AT_ONCE` reads are in flight.
+        """
         async with trio.open_nursery() as nursery:
-            flying = trio.CapacityLimiter(c.SYNCS_AT_ONCE)
+            in_flight = trio.CapacityLimiter(c.SYNCS_AT_ONCE)
             while True:
-                await self._wanted.wait()
+                await self._sync_requested.wait()
                 token = object()
-                await flying.acquire_on_behalf_of(token)
-                self._wanted = trio.Event()
-                batch, self._waiting = self._waiting, []
-                nursery.start_soon(self._serve, batch, flying, token)
-                with trio.move_on_after(c.SYNC_SLOW_S):  # reads that are answered soon go one after the other
-                    await batch[0].settled.wait()
+                await in_flight.acquire_on_behalf_of(token)
+                self._sync_requested = trio.Event()
+                batch, self._pending_syncs = self._pending_syncs, []
+                nursery.start_soon(self._serve_batch, batch, in_flight, token)
+                with trio.move_on_after(c.SYNC_SLOW_S):  # fast reads follow one another
+                    await batch[0].finished.wait()
                 await trio.sleep(c.SYNC_GAP_S)
 
-    async def _serve(self, batch: list[_Sync], flying: trio.CapacityLimiter, token: object) -> None:
-        good = False
+    async def _serve_batch(self, batch: list[_PendingSync], in_flight: trio.CapacityLimiter, token: object) -> None:
+        succeeded = False
         try:
-            good = await self._read(0)
+            succeeded = await self._read(0)
         except (Away, Unsure):
             pass
         finally:
-            flying.release_on_behalf_of(token)
+            in_flight.release_on_behalf_of(token)
             for reading in batch:
-                reading.good = good
-                reading.settled.set()
+                reading.succeeded = succeeded
+                reading.finished.set()
 
-    async def keep_current(self, wanted: Callable[[], bool]) -> None:
-        """Read now and then while `wanted`: what the copy proves must not be older than what the lease does.
+    async def keep_current(self, needed: Callable[[], bool]) -> None:
+        """Keep the proof that the copy is current at most about as old as the leader lease's, while `needed()` is true.
 
-        A quiet watch proves nothing for as long as it waits; polls prove it all the time, and then this reads nothing.
+        A watch without changes proves nothing until its long poll returns, so this reads when the last proof is older
+        than `PULSE_S`. While users' polls cause reads all the time, it reads nothing.
         """
         while True:
             await trio.sleep(c.PULSE_S)
-            if wanted() and trio.current_time() - self.replica.current_at >= c.PULSE_S:
+            if needed() and trio.current_time() - self.replica.current_at >= c.PULSE_S:
                 with contextlib.suppress(Away):
                     await self.sync()
--- a/pepperlatch/controller/writer.py
+++ b/pepperlatch/controller/writer.py
@@ -1,8 +1,9 @@
-"""The leader's writes: batched, every one conditional on the leader's key, what somebody waits for first.
+"""The leader's writes to the state service: batched, and only applied while this node leads.
 
-They are carried out in order or not at all. A transaction without an answer may be carried out seconds later, when
-newer values are stored: so each is also conditional on the leader's turn (`store.TURN`), and after one without an
-answer the turn is moved on before anything else is written. What was lost is by then carried out, or never will be.
+Writes are applied in order or not at all; those that somebody waits for come first. A transaction without an answer may
+be applied seconds later, when newer values are stored. So every transaction is conditional on two keys: the leader's,
+and the write fence (`store.WRITE_FENCE`). After one without an answer the fence is written anew before anything else.
+By then the unanswered transaction has been applied, or it never will be.
 """
 
 import logging
@@ -25,128 +26,150 @@
 
 @dataclass(slots=True)
 class Write:
-    """Changes that belong together; `done(applied)` is told once the outcome is known."""
+    """Changes that are applied together or not at all.
+
+    `on_outcome(applied)` is called once the outcome is known, and never if the term ends before. `conditions` are those
+    of this write beside the leader's.
+    """
 
     changes: list[dict[str, Any]]
-    done: Callable[[bool], None]
-    when: list[dict[str, Any]] = field(default_factory=list)
-    alone: bool = False  # one of those that came with it was refused
+    on_outcome: Callable[[bool], None]
+    conditions: list[dict[str, Any]] = field(default_factory=list)
+    alone: bool = False  # in a transaction of its own, since one with several was refused
 
 
 class Writer:
-    def __init__(self, state: StateClient, term: Term, most: int) -> None:
-        self.turn = 0  # version of the turn's key; known from taking over
-        self._unanswered = False  # a transaction may yet be carried out
+    """The queue of writes of one term. `max_changes` is the limit of changes in one transaction."""
+
+    def __init__(self, state: StateClient, term: Term, max_changes: int) -> None:
+        self.fence_version = 0  # version of the write fence key, 0 if there is none; read on taking over
+        self._outcome_unknown = False  # a transaction without an answer may yet be applied
         self._state = state
         self._term = term
-        self._most = most
+        self._max_changes = max_changes
         self._queue: deque[Write] = deque()
-        self._later: deque[Write] = deque()
-        self._refused: deque[tuple[float, Write]] = deque()  # and when they are tried again
+        self._deferred: deque[Write] = deque()
+        self._refused: deque[tuple[float, Write]] = deque()  # with the time at which each is tried again, in seconds
         self._wake = trio.Event()
 
-    def later_most(self) -> int:
-        return min(self._most, self._state.later_most())
+    def max_deferred_changes(self) -> int:
+        """Return the largest number of changes that a deferred write may have."""
+        return min(self._max_changes, self._state.later_most())
 
-    def add(self, write: Write, later: bool = False) -> None:
-        """`later`: nobody waits for it; it is written when the budget has more than others may need."""
-        (self._later if later else self._queue).append(write)
+    def add(self, write: Write, deferred: bool = False) -> None:
+        """Queue a write. A `deferred` one, for which nobody waits, is written only while the write budget has spare."""
+        (self._deferred if deferred else self._queue).append(write)
         self._wake.set()
 
     async def run(self) -> None:
+        """Commit queued writes until the term is over; those that aren't confirmed are tried again."""
         while not self._term.over:
             while self._refused and trio.current_time() >= self._refused[0][0]:
                 self._queue.append(self._refused.popleft()[1])
-            if self._unanswered and not await self._moved_on():
+            if self._outcome_unknown and not await self._advance_fence():
                 await trio.sleep(c.STATE_RETRY_S)
                 continue
-            batch = self._take()
+            batch = self._next_batch()
             if not batch:
-                await self._rest()
+                await self._wait_for_work()
                 continue
             try:
                 await self._commit(batch)
             except Refused as error:
-                self._refuse(batch, error)
+                self._on_refused(batch, error)
             except (Away, Unsure, LeaseGone) as error:
-                log.debug("write put off: %s", error)
-                self._unanswered = isinstance(error, Unsure)
+                log.debug("state service did not confirm a write, retrying: %s", error)
+                self._outcome_unknown = isinstance(error, Unsure)
                 self._queue.extendleft(reversed(batch))
                 await trio.sleep(c.STATE_RETRY_S)
 
-    async def _rest(self) -> None:
+    async def _wait_for_work(self) -> None:
         self._wake = trio.Event()
-        with trio.move_on_after(c.LATER_PAUSE_S if self._later else c.REFUSED_PAUSE_S):
+        with trio.move_on_after(c.LATER_PAUSE_S if self._deferred else c.REFUSED_PAUSE_S):
             await self._wake.wait()
 
-    def _refuse(self, batch: list[Write], error: Refused) -> None:
-        """Each by itself next; the one at fault is named and goes out of the others' way."""
+    def _on_refused(self, batch: list[Write], error: Refused) -> None:
+        """Retry the writes of a refused batch one by one; set a single refused write aside for `REFUSED_PAUSE_S`."""
         if len(batch) > 1:
-            self._queue.extendleft(reversed([_alone(write) for write in batch]))
+            self._queue.extendleft(reversed([_as_single(write) for write in batch]))
             return
-        log.error("%s is refused: %s", wire.written_key(batch[0].changes[0]), error)
+        log.error(
+            "%s is refused by the state service; retrying later, other writes go on: %s",
+            wire.written_key(batch[0].changes[0]),
+            error,
+        )
         self._refused.append((trio.current_time() + c.REFUSED_PAUSE_S, batch[0]))
 
-    def _take(self) -> list[Write]:
-        """Whole writes while they fit into one transaction (at least one)."""
+    def _next_batch(self) -> list[Write]:
+        """Take whole writes from the queues while they fit into one transaction, at least one if any may be written."""
         batch: list[Write] = []
         changes = conditions = size = 0
         spare = self._state.writes_spare()
-        while self._queue or self._later:
-            source = self._queue or self._later
+        while self._queue or self._deferred:
+            source = self._queue or self._deferred
             write = source[0]
-            if source is self._later and changes + len(write.changes) > spare:
+            if source is self._deferred and changes + len(write.changes) > spare:
                 break
             changes += len(write.changes)
-            conditions += len(write.when)
+            conditions += len(write.conditions)
             size += len(orjson.dumps(write.changes))
-            over = changes > self._most or conditions + 2 > c.TXN_CONDITIONS * self._most or size > c.TXN_BYTES
+            over = (
+                changes > self._max_changes
+                or conditions + 2 > c.TXN_CONDITIONS * self._max_changes
+                or size > c.TXN_BYTES
+            )
             if batch and (over or write.alone or batch[0].alone):
                 break
             batch.append(source.popleft())
         return batch
 
-    def _mine(self) -> list[dict[str, Any]]:
-        return [wire.when(store.LEADER, self._term.token), wire.when(store.TURN, self.turn)]
+    def _leader_conditions(self) -> list[dict[str, Any]]:
+        return [wire.when(store.LEADER, self._term.token), wire.when(store.WRITE_FENCE, self.fence_version)]
 
-    async def _moved_on(self) -> bool:
-        """Whether no earlier transaction can be carried out any more."""
+    async def _advance_fence(self) -> bool:
+        """Write the fence anew; return whether no earlier transaction can be applied any more."""
         try:
-            outcome = await self._state.txn(self._mine(), [wire.put(store.TURN, {"token": self._term.token})])
+            outcome = await self._state.txn(
+                self._leader_conditions(), [wire.put(store.WRITE_FENCE, {"token": self._term.token})]
+            )
             if outcome.applied:
-                self.turn = outcome.revision
+                self.fence_version = outcome.revision
             elif store.LEADER in outcome.failed:
                 self._term.over = True
-            else:  # this was tried before, without an answer, and was carried out
-                held = await self._state.read(store.TURN)
-                self.turn = held.version if held is not None else 0
+            else:  # an earlier try had no answer, but was applied
+                held = await self._state.read(store.WRITE_FENCE)
+                self.fence_version = held.version if held is not None else 0
         except (Away, Unsure, LeaseGone) as error:
-            log.debug("turn not moved on: %s", error)
+            log.debug("write fence not advanced, retrying: %s", error)
             return False
-        self._unanswered = False
+        self._outcome_unknown = False
         return True
 
     async def _commit(self, batch: list[Write]) -> None:
-        """What is tried again after an unknown outcome may have been carried out: whole values, or conditional."""
+        """Commit the batch; writes whose own conditions fail are reported, and the others queued again.
+
+        A write that is retried after an unknown outcome may have been applied already. So writes hold whole values, or
+        have conditions of their own.
+        """
         outcome = await self._state.txn(
-            self._mine() + [w for b in batch for w in b.when], [w for b in batch for w in b.changes]
+            self._leader_conditions() + [w for b in batch for w in b.conditions], [w for b in batch for w in b.changes]
         )
         if outcome.applied:
             for write in batch:
-                write.done(True)
+                write.on_outcome(True)
         elif store.LEADER in outcome.failed:
             self._term.over = True
-        elif store.TURN in outcome.failed:  # moved on by what had no answer, or by nobody that we know of
-            self._unanswered = True
+        elif store.WRITE_FENCE in outcome.failed:  # advanced by a try without an answer, or by a writer unknown to us
+            self._outcome_unknown = True
             self._queue.extendleft(reversed(batch))
         else:
             failed = set(outcome.failed)
-            rest = [w for w in batch if not any(wire.condition_key(cond) in failed for cond in w.when)]
+            rest = [w for w in batch if not any(wire.condition_key(cond) in failed for cond in w.conditions)]
             for write in batch:
                 if write not in rest:
-                    write.done(False)
+                    write.on_outcome(False)
             self._queue.extendleft(reversed(rest))
 
 
-def _alone(write: Write) -> Write:
-    return Write(write.changes, write.done, write.when, alone=True)
+def _as_single(write: Write) -> Write:
+    return Write(write.changes, write.on_outcome, write.conditions, alone=True)
--- a/tests/measure_waiting.py
+++ b/tests/measure_waiting.py
@@ -35,9 +35,9 @@
         rounds: list[float] = []
         plan = leader._plan
 
-        def timed(now: float, sure: bool) -> None:
+        def timed(now: float, lease_valid: bool) -> None:
             at = time.perf_counter()
-            plan(now, sure)
+            plan(now, lease_valid)
             rounds.append(time.perf_counter() - at)
 
         leader._plan = timed  # type: ignore[method-assign]
