--- a/pepperlatch/controller/attestation.py
+++ b/pepperlatch/controller/attestation.py
@@ -1,8 +1,9 @@
-"""What the controllers know together while the state service answers none of them.
+"""Attestation of cancellations: how a leader keeps tasks alive while the state service answers no controller.
 
-A leader may keep tasks alive for G after its copy was proven current, for others may have confirmed cancellations
-since. Only controllers confirm them. So a leader that hears from every other one what that one may have told users,
-and that none of them leads, knows as much as a reading would have told it, and G begins anew ("PeerAttestation" in
+A leader may renew tasks' leases only for the lease extension (`lease_extension_seconds`, G in `docs/safety.md`) after
+its copy was proven current, since other controllers may have confirmed cancellations to users since then. Only
+controllers confirm them. So if every other controller attests which cancellations it may have confirmed, and none of
+them knows a later leader, the leader knows as much as a read would have shown, and G begins anew ("Vouching" in
 `docs/safety.md`).
 """
 
@@ -28,26 +29,35 @@
 
 
 class AttestationRequest(msgspec.Struct):
+    """Sent by the leader to every other controller."""
+
     token: int
-    revision: int  # up to which the asking leader has read
+    revision: int  # up to which the requesting leader has read
 
 
 class CancelledJob(msgspec.Struct):
+    """A cancelled job's id, its record (`store.JobRecord`) and the version of its key."""
+
     id: str
     record: dict[str, Any]
     version: int
 
 
 class Attestation(msgspec.Struct):
-    """Of one controller: who leads, as far as it knows, and what it may have told users."""
+    """One controller's answer: who leads as far as it knows, and which cancellations it may have confirmed to users."""
 
-    token: int  # 0: nobody
+    token: int  # of the leader that it knows; 0 if it knows none
     cancelled: list[CancelledJob]
-    whole: bool  # whether these are all jobs cancelled since the leader's reading that it or a life before it knew of
-    more: bool = False  # there are later ones than these, to be asked for by the last revision given
+    whole: bool  # whether these are all jobs cancelled since the revision that this node or an earlier process knew of
+    more: bool = False  # there are later ones, to be requested from the last version in `cancelled` on
 
 
 class PeerAttestation:
+    """Requests attestations for this node while it leads, and gives them to the leader while it does not.
+
+    `clock` is the steady clock in seconds. Created by the node; `contacts.py` calls it as long as reads fail.
+    """
+
     def __init__(
         self, network: Network, peers: list[Peer], watcher: store.StateWatcher, leadership: Leadership,
         clock: Callable[[], float],
@@ -59,33 +69,34 @@
         self._leadership = leadership
         self._clock = clock
 
-    # --- being asked ------------------------------------------------------------------------------
+    # --- serving requests -------------------------------------------------------------------------
 
     def serve_request(self, body: bytes) -> Response:
+        """Answer a leader's request for an attestation; 400 if it is malformed."""
         try:
-            question = wire.convert(orjson.loads(body), AttestationRequest)
+            request = wire.convert(orjson.loads(body), AttestationRequest)
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
             return Response(400, {"error": str(error)})
-        return Response(200, wire.to_plain(self._attest(question)))
+        return Response(200, wire.to_plain(self._attest(request)))
 
-    def _attest(self, question: AttestationRequest) -> Attestation:
-        held, term = self._replica.leader, self._leadership.term
+    def _attest(self, request: AttestationRequest) -> Attestation:
+        leader_key, term = self._replica.leader, self._leadership.term
         leads = [term.token] if term is not None and not term.over else []
-        token = max([held[1] if held is not None else 0, *leads])
-        found = self._replica.cancelled_since(question.revision)
+        token = max([leader_key[1] if leader_key is not None else 0, *leads])
+        found = self._replica.cancelled_since(request.revision)
         shown = found or []
-        last = shown[: c.VOUCH_MOST][-1][0] if shown else 0  # a revision may cancel several: all of them or none
+        last = shown[: c.VOUCH_MOST][-1][0] if shown else 0  # one revision may cancel several jobs: send all or none
         rows = [
             CancelledJob(job_id, wire.to_plain(self._replica.jobs[job_id].record), version)
             for version, job_id in shown
             if version <= last
         ]
-        # Whoever has read all keys knows what an earlier process of this node told users.
+        # A node that has read all keys also knows what an earlier process on it confirmed to users.
         known, more = self._replica.loaded and found is not None, len(rows) < len(shown)
         return Attestation(token, rows, known and not more, known and more)
 
     def serve_cancelled(self, body: bytes) -> Response:
-        """Another controller has had a cancellation confirmed, and tells this one before it tells the user."""
+        """Take in a cancellation that another controller has had confirmed, before it answers its user."""
         try:
             row = wire.convert(orjson.loads(body), CancelledJob)
             record = wire.convert(row.record, store.JobRecord)
@@ -96,54 +107,62 @@
         self._watcher.learn([(row.id, record, row.version)])
         return Response(200, {})
 
-    # --- asking -----------------------------------------------------------------------------------
+    # --- sending requests -------------------------------------------------------------------------
 
     async def request_attestations(self, term: Term) -> None:
-        """Have the others vouch for this leader's copy. Cancelled, what some have told is known, and proves nothing."""
+        """Request attestations for this leader's copy from all other controllers.
+
+        If all are complete, the copy counts as current when this was called; if one knows a later leader, the term
+        ends. When this is cancelled, cancellations received so far are applied, and nothing is proven.
+        """
         sent = self._clock()
-        statements: list[Attestation] = []
+        attestations: list[Attestation] = []
 
-        async def one(peer: Peer) -> None:
+        async def collect(peer: Peer) -> None:
             revision = self._replica.revision
             while True:
-                statement = await self._request_one(peer, AttestationRequest(term.token, revision))
-                if statement is None:
+                attestation = await self._request_one(peer, AttestationRequest(term.token, revision))
+                if attestation is None:
                     return
-                rows = statement.cancelled
+                rows = attestation.cancelled
                 self._watcher.learn([(row.id, row.record, row.version) for row in rows])
-                if not statement.more or not rows or rows[-1].version <= revision:
-                    statements.append(statement)
+                if not attestation.more or not rows or rows[-1].version <= revision:
+                    attestations.append(attestation)
                     return
-                revision = rows[-1].version  # the rest: what was told before the first question is in one of them
+                # Request the rest. What was confirmed to users before the first request is in one of the answers.
+                revision = rows[-1].version
 
         async with trio.open_nursery() as nursery:
             for peer in self._peers:
-                nursery.start_soon(one, peer)
-        # One that knows an earlier leader only has had no news. Who wins after this reckons from then on.
-        if any(statement.token > term.token for statement in statements):
-            log.info("another controller knows a later leader than %d", term.token)
+                nursery.start_soon(collect, peer)
+        # A controller that knows only an earlier leader lacks news, which is harmless. A leader elected after this
+        # counts from its own election.
+        if any(attestation.token > term.token for attestation in attestations):
+            log.info("another controller knows a leader with a token higher than %d; ending this term", term.token)
             term.over = True
-        elif len(statements) == len(self._peers) and all(statement.whole for statement in statements):
+        elif len(attestations) == len(self._peers) and all(attestation.whole for attestation in attestations):
             term.attested_at = max(term.attested_at, sent)
 
     async def notify_leader(self, job_id: str, record: store.JobRecord, version: int) -> None:
-        """Let the leader know of a cancellation before its user does, so that it starts nothing of it any more.
+        """Notify the leader of a confirmed cancellation before the user is answered, so that it starts no such task.
 
-        Seldom more than a few ms; a leader that does not answer has it from its watch. Cancelled, it may know or not.
+        Usually takes a few ms, at most `TELL_S`. A leader that does not answer learns of it from its watch. If this is
+        cancelled, the leader may have been notified or not.
         """
-        held = self._replica.leader
-        peer = next((p for p in self._peers if held is not None and p.node == held[0]), None)
+        leader_key = self._replica.leader
+        peer = next((p for p in self._peers if leader_key is not None and p.node == leader_key[0]), None)
         if peer is None:
             return
         body = wire.to_plain(CancelledJob(job_id, wire.to_plain(record), version))
         with contextlib.suppress(NotSent, Lost):
             await self._network.request(peer.addr, "POST", PEER_CANCELLED, body, c.TELL_S)
 
-    async def _request_one(self, peer: Peer, question: AttestationRequest) -> Attestation | None:
+    async def _request_one(self, peer: Peer, request: AttestationRequest) -> Attestation | None:
+        """Return one controller's attestation; None if it does not answer, or not as expected."""
         try:
-            body = wire.to_plain(question)
+            body = wire.to_plain(request)
             status, answer = await self._network.request(peer.addr, "POST", PEER_ATTEST, body, c.PROBE_S)
-            statement: Attestation | None = wire.convert(answer, Attestation) if status == 200 else None
-            return statement
+            attestation: Attestation | None = wire.convert(answer, Attestation) if status == 200 else None
+            return attestation
         except (NotSent, Lost, msgspec.ValidationError):
             return None
--- a/pepperlatch/controller/command_loop.py
+++ b/pepperlatch/controller/command_loop.py
@@ -1,4 +1,7 @@
-"""The one owner of a node's state: a queue of commands, worked through in batches."""
+"""The command loop: the one place that changes a node's scheduling state, by running queued commands in batches.
+
+Coroutines that do I/O enqueue functions with their results here, so that the state needs no locks.
+"""
 
 import logging
 from collections import deque
@@ -17,7 +20,10 @@
 
 @dataclass(slots=True)
 class CommandLoop:
-    """Commands run one after the other; after each batch `after_batch` acts on what they changed."""
+    """Runs commands one after the other, and `after_batch` after each batch to act on what they changed.
+
+    `tick_s` is the longest time in seconds between two calls of `after_batch` while nothing is queued.
+    """
 
     after_batch: Callable[[], None]
     tick_s: float
@@ -25,24 +31,26 @@
     _wake: trio.Event = field(default_factory=trio.Event)
 
     def enqueue(self, command: Command) -> None:
+        """Queue a command; it must not block, and an exception that it raises ends the node."""
         self._queue.append(command)
         self._wake.set()
 
     def is_backlogged(self) -> bool:
-        """Whether the node falls behind, so that what is not needed gives way."""
+        """Return whether the node falls behind, so that optional work such as the console's should wait."""
         return len(self._queue) >= c.QUEUE_LONG
 
     def is_full(self) -> bool:
-        """Whether reports are to be refused; what the node asked for itself is always taken."""
+        """Return whether new reports are to be refused; results of the node's own requests are always enqueued."""
         return len(self._queue) >= c.QUEUE_MOST
 
     async def run(self) -> None:
+        """Run commands until cancelled."""
         while True:
             with trio.move_on_after(self.tick_s):
                 await self._wake.wait()
             self._wake = trio.Event()
             if self.is_backlogged():
-                log.info("%d commands wait", len(self._queue))
+                log.info("command loop falls behind: %d commands are queued", len(self._queue))
             for _ in range(len(self._queue)):
                 self._queue.popleft()()
             self.after_batch()
@@ -50,7 +58,7 @@
 
 @dataclass(slots=True)
 class Reply(Generic[T]):
-    """An answer that the owner will give."""
+    """A result that a command will set, for a coroutine that waits for it."""
 
     value: T | None = None
     _event: trio.Event = field(default_factory=trio.Event)
@@ -60,5 +68,6 @@
         self._event.set()
 
     async def get(self) -> T | None:
+        """Wait for the result."""
         await self._event.wait()
         return self.value
--- a/pepperlatch/controller/leader_task.py
+++ b/pepperlatch/controller/leader_task.py
@@ -1,4 +1,4 @@
-"""What the parts of a leader share for one term."""
+"""What the leader and its helpers (`Rentals`, `Records`, `Health`) share during one term."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -19,6 +19,12 @@
 
 @dataclass(slots=True)
 class LeaderTask:
+    """The state of one term of leading, and the nursery that its coroutines run in.
+
+    `clock` is the node's steady clock, `wall` the time of day, both in seconds. `nursery` is None until `Leader.run`
+    sets it.
+    """
+
     settings: Settings
     term: Term
     replica: Replica
@@ -31,5 +37,6 @@
     nursery: trio.Nursery | None = field(default=None)
 
     def spawn(self, task: Callable[..., Any], *args: Any) -> None:
+        """Start a coroutine that is cancelled when the term is over; do nothing if that is so already."""
         if self.nursery is not None and not self.term.over:
             self.nursery.start_soon(task, *args)
--- a/pepperlatch/controller/store.py
+++ b/pepperlatch/controller/store.py
@@ -299,7 +299,7 @@
         known = self._cancelled_by_job.get(job_id)
         return known.not_before if known is not None and math.isfinite(known.not_before) else None
 
-    # --- derived values ----------------------------------------------------------------------------
+    # --- derived values ---------------------------------------------------------------------------
 
     @property
     def types(self) -> list[wire.MachineType]:
@@ -354,7 +354,7 @@
     return pair
 
 
-# --- limits of a value's size ----------------------------------------------------------------------
+# --- limits of a value's size ---------------------------------------------------------------------
 
 
 def fits_value(value: Any, value_kb: float) -> bool:
