--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -1,4 +1,9 @@
-"""Machines that do not answer: fenced after taking over, asked about when silent, given up in the end."""
+"""Fencing of machines after taking over, and probing, giving up and returning of machines that fall silent.
+
+A machine is "late" if it is up and no report of it has come for several report intervals. It is "silent" if it is late
+and not just waiting for its first fencing after a takeover. To give a machine up is to release it: its tasks are
+started elsewhere and the cloud is asked to take it back.
+"""
 
 import contextlib
 import heapq
@@ -25,14 +30,15 @@
 log = logging.getLogger(__name__)
 
 
-class Portion:
-    """How many machines of lost zones may be given up in one look: a few at once, and only if room is needed."""
+class LostZoneBudget:
+    """Limits how many machines of cut-off zones are given up in one check: a few, and none unless room is needed."""
 
     def __init__(self, zones: Zones, needed: bool) -> None:
         self._zones = zones
         self._left = z.PORTION if needed else 0
 
     def allows(self, zone: str) -> bool:
+        """Return whether one more machine of the zone may be given up, and count it."""
         if not self._zones.cut(zone):
             return True
         self._left -= 1
@@ -40,6 +46,12 @@
 
 
 class Health:
+    """Watches the machines during one term; `check` runs in the command loop, coroutines enqueue their results there.
+
+    `on_report(report, sent_at, through_others)` takes in a report that this asked for: when the request was sent, in
+    seconds of the steady clock, and whether another controller forwarded it.
+    """
+
     def __init__(
         self, leader_task: LeaderTask, workers: WorkerClient, peers: Peers,
         on_report: Callable[[Report, float, bool], None],
@@ -49,15 +61,15 @@
         self._peers = peers
         self._on_report = on_report
         self._fencing = trio.CapacityLimiter(c.FENCE_AT_ONCE)
-        self._reached: list[str] = []  # looked up once a look, not once a machine
+        self._witnesses: list[str] = []  # addresses that others try too, to know whether they are cut off themselves
 
     # --- fencing ----------------------------------------------------------------------------------
 
     async def fence(self, machine: Machine) -> None:
-        """Show the machine our token, so that no earlier leader can command it any more.
+        """Show the machine our token, so that no earlier leader can command it any more; retry until that succeeds.
 
-        A bounded number at once: hundreds together would miss their deadlines on our share of a core, be
-        tried again, and keep the leader from its lease. What does not answer goes to the end of the line.
+        At most `FENCE_AT_ONCE` run at once. Hundreds would miss their deadlines on a small share of a core, be retried,
+        and keep the leader from renewing its lease. A machine that does not answer goes to the end of the queue.
         """
         while not self._leader_task.term.over:
             async with self._fencing:
@@ -72,7 +84,10 @@
             await trio.sleep(c.FENCE_PAUSE_S)
 
     async def _show_token(self, machine: Machine, session: int) -> tuple[bool, Report]:
-        """Directly, or through another controller if a cut lies between: its reports are passed on then."""
+        """Show our token directly, or else through another controller, which then forwards the machine's reports.
+
+        Returns whether the worker executed the command, and its report. Raises Lost if nobody reaches the machine.
+        """
         through_others, sent = False, self._leader_task.clock()
         try:
             executed, report = await self._workers.command(
@@ -82,61 +97,67 @@
             machine.fence_failed = True
             fenced = await self._peers.fence(machine.addr, machine.zone, self._leader_task.term.token, session)
             executed, report, through_others = fenced.executed, fenced.report, True
-        self._leader_task.command_loop.enqueue(lambda: self._fenced(machine, report, sent, through_others))
+        self._leader_task.command_loop.enqueue(lambda: self._on_fence_result(machine, report, sent, through_others))
         return executed, report
 
-    def _fenced(self, machine: Machine, report: Report, sent: float, through_others: bool) -> None:
+    def _on_fence_result(self, machine: Machine, report: Report, sent: float, through_others: bool) -> None:
         if through_others:
             machine.relay_until = self._leader_task.clock() + c.RELAY_STICKY_S
         self._on_report(report, sent, through_others)
 
-    # --- silence ----------------------------------------------------------------------------------
+    # --- silent machines --------------------------------------------------------------------------
 
-    def check(self, now: float, sure: bool) -> None:
+    def check(self, now: float, lease_valid: bool) -> None:
+        """Probe silent machines, and release those that are to be given up, returned, or are idle.
+
+        Called every `TICK_S` by the leader. While the lease is not valid, only machines that may hold a cancelled task
+        are released, and those that never came up.
+        """
         cluster, planner = self._leader_task.cluster, self._leader_task.planner
-        quiet = self._quiet(now)
-        self._look_at_zones(quiet, now)
-        silent = [m for m in quiet if m.seen_at >= 0 or m.fence_failed or m.name not in cluster.unaccounted]
+        late = self._late_machines(now)
+        self._update_zones(late, now)
+        silent = [m for m in late if m.seen_at >= 0 or m.fence_failed or m.name not in cluster.unaccounted]
         if silent:
-            self._reached = cluster.last_heard()
-        for machine in self._worth_asking(silent):
+            self._witnesses = cluster.last_heard()
+        for machine in self._worth_probing(silent):
             if not machine.probing:
                 machine.probing = True
                 self._leader_task.spawn(self._probe, machine)
         zones = {m.zone for m in cluster.machines.values()}
         kept_zones = {zone for zone in zones if planner.zones.kept(zone, now)}
         elsewhere = sum(1 for m in silent if m.zone not in kept_zones)
-        many = elsewhere > max(1, c.SILENT_MANY_SHARE * len(cluster.machines))
+        many_silent = elsewhere > max(1, c.SILENT_MANY_SHARE * len(cluster.machines))
         for machine in cluster.machines.values():
-            if machine.status is Status.BOOTING and machine.zone not in kept_zones and self._overdue(machine, now):
+            if machine.status is Status.BOOTING and machine.zone not in kept_zones and self._boot_overdue(machine, now):
                 cluster.release(machine, "never came up")
             if machine.unheard >= c.UNHEARD_MOST or any(not a.wanted for a in machine.attempts.values()):
                 cluster.touched.add(machine)
-        if sure:
-            self._give_up([machine for machine in quiet if machine.zone not in kept_zones], many, now)
-        self._return_cancelled(quiet, kept_zones, sure, now)
-        if sure and not cluster.rebuilding():
+        if lease_valid:
+            self._give_up([machine for machine in late if machine.zone not in kept_zones], many_silent, now)
+        self._return_cancelled(late, kept_zones, lease_valid, now)
+        if lease_valid and not cluster.rebuilding():
             for machine in planner.idle(now):
                 cluster.release(machine, machine.draining or ("quarantined" if machine.quarantined else "idle"))
         planner.drain(now)
         if now >= planner.look_after and (planner.needs or any(j.waiting for j in cluster.jobs.values())):
             cluster.dirty = True
 
-    def _overdue(self, machine: Machine, now: float) -> bool:
+    def _boot_overdue(self, machine: Machine, now: float) -> bool:
         return now - machine.born > self._leader_task.cluster.boots.patience_s(machine.type)
 
-    def _give_up(self, quiet: list[Machine], many: bool, now: float) -> None:
-        """Of those that were not heard of for long."""
+    def _give_up(self, late: list[Machine], many_silent: bool, now: float) -> None:
+        """Release those of the late machines that are to be given up."""
         planner = self._leader_task.planner
-        portion = Portion(planner.zones, bool(planner.needs))
-        for machine in quiet:
-            if self._given_up(machine, many, now) and portion.allows(machine.zone):
+        budget = LostZoneBudget(planner.zones, bool(planner.needs))
+        for machine in late:
+            if self._should_give_up(machine, many_silent, now) and budget.allows(machine.zone):
                 self._leader_task.cluster.release(machine, SILENT)
 
-    def _look_at_zones(self, quiet: list[Machine], now: float) -> None:
+    def _update_zones(self, late: list[Machine], now: float) -> None:
+        """Tell the planner for each zone how many machines are up and late, and whether a controller there answers."""
         cluster, settings = self._leader_task.cluster, self._leader_task.settings
         up = Counter(m.zone for m in cluster.machines.values() if m.status is Status.UP)
-        lost = Counter(m.zone for m in quiet)
+        lost = Counter(m.zone for m in late)
         answers: dict[str, bool] = {settings.zone: True}
         for peer in settings.peers:
             heard_at = max(cluster.peer_heard.get(peer.node, cluster.started), cluster.started)
@@ -144,8 +165,8 @@
         for zone in settings.params.zones:
             self._leader_task.planner.look_at_zone(zone, ZoneSeen(up[zone], lost[zone], answers.get(zone)), now)
 
-    def _worth_asking(self, silent: list[Machine]) -> list[Machine]:
-        """All, but a few only of a zone that is cut off: those that were asked least."""
+    def _worth_probing(self, silent: list[Machine]) -> list[Machine]:
+        """Return all silent machines, but only a few in each cut-off zone: those with the fewest probes so far."""
         zones, out = self._leader_task.planner.zones, []
         cut: dict[str, list[Machine]] = {}
         for machine in silent:
@@ -157,10 +178,11 @@
             out += heapq.nsmallest(z.PROBES, machines, key=lambda m: (m.probes + m.probes_unheard, m.name))
         return out
 
-    def _quiet(self, now: float) -> list[Machine]:
-        """Not heard of for long; sooner right after taking over, for fencing asks every machine.
+    def _late_machines(self, now: float) -> list[Machine]:
+        """Return machines without a report for long; right after taking over sooner, since fencing asks every machine.
 
-        Hundreds are fenced one after the other: one whose turn has not come tells of its zone, but not of itself.
+        Hundreds are fenced one after the other. A machine that has not been tried yet counts in the state of its zone,
+        but is not treated as silent itself.
         """
         cluster, report_s = self._leader_task.cluster, self._leader_task.settings.params.workers.report_s
         least_s = min(c.FENCE_SILENT_S, c.SILENT_REPORTS * report_s)
@@ -169,73 +191,79 @@
             if machine.status is not Status.UP or now - machine.seen_at <= least_s:
                 continue
             fenced = machine.seen_at < 0 and machine.name in cluster.unaccounted
-            patience_s = c.FENCE_SILENT_S if fenced else c.SILENT_REPORTS * report_s
-            if now - max(machine.seen_at, cluster.started) > patience_s:
+            limit_s = c.FENCE_SILENT_S if fenced else c.SILENT_REPORTS * report_s
+            if now - max(machine.seen_at, cluster.started) > limit_s:
                 out.append(machine)
         return out
 
-    def _given_up(self, machine: Machine, many: bool, now: float) -> bool:
-        """Silent machines are given up one by one; many at once mean that the network is at fault.
+    def _should_give_up(self, machine: Machine, many_silent: bool, now: float) -> bool:
+        """Return whether to give up a silent machine; if many are silent at once, the network is at fault and none is.
 
-        While no other controller can be asked, a cut looks like a dead machine: then only the end of its
-        lease decides, after which nothing runs there any more.
+        While no other controller can be asked, a network cut looks like a dead machine. Then only the end of the
+        machine's lease decides, after which nothing runs there any more. After `SILENT_LONG_S` it is always given up.
         """
         if now - max(machine.seen_at, self._leader_task.cluster.started) > c.SILENT_LONG_S:
             return True
-        fenced = machine.seen_at < 0  # two tries to fence it came before
+        fenced = machine.seen_at < 0  # fencing has been tried twice before
         asked = machine.probes >= (1 if fenced else c.SILENT_PROBES)
-        return not many and (
+        return not many_silent and (
             asked or (machine.probes_unheard > 0 and self._leader_task.cluster.lease_over(machine, now))
         )
 
-    def _return_cancelled(self, quiet: list[Machine], kept_zones: set[str], sure: bool, now: float) -> None:
-        """Silent machines that may hold a cancelled task are returned in time, however many are silent.
+    def _return_cancelled(self, late: list[Machine], kept_zones: set[str], lease_valid: bool, now: float) -> None:
+        """Return silent machines that may hold a cancelled task before the bound for it, however many are silent.
 
-        Also those whose return was decided for another reason, and may not be sent while the lease is unsure.
+        Includes machines whose return was decided for another reason and waits for the lease to be valid.
         """
         cluster, workers = self._leader_task.cluster, self._leader_task.settings.params.workers
-        seen = Seen(cluster.started, sure, self._heard_at(), kept_zones)
+        seen = Seen(cluster.started, lease_valid, self._last_heard_at(), kept_zones)
         departed_since = cluster.departed_since(now)
         leaving = [cluster.machines[name] for name in cluster.to_release if name in cluster.machines]
-        for machine in [*quiet, *leaving]:
+        for machine in [*late, *leaving]:
             since = cluster.cancelled_since(machine, departed_since)
             decision = decide(machine, since, seen, workers, now)
-            self._log_kept(machine, since, decision, now)
+            self._log_decision(machine, since, decision, now)
             if decision is Decision.RETURN:
                 machine.return_needs_lease = False
                 cluster.release(machine, SILENT_CANCELLED)
 
-    def _heard_at(self) -> float:
-        """When a machine or another controller was last heard of."""
+    def _last_heard_at(self) -> float:
+        """Return when any machine or other controller was last heard from, in seconds of the steady clock."""
         machines = (machine.reached_at for machine in self._leader_task.cluster.machines.values())
         return max([*machines, *self._leader_task.cluster.peer_heard.values()], default=-math.inf)
 
-    def _log_kept(self, machine: Machine, since: float, decision: Decision, now: float) -> None:
-        """Say what is decided of a machine that may hold a cancelled task: once, and when that changes."""
+    def _log_decision(self, machine: Machine, since: float, decision: Decision, now: float) -> None:
+        """Log the decision about a machine that may hold a cancelled task, once and whenever it changes."""
         if decision is Decision.NOTHING or decision.value == machine.kept_because:
             return
         machine.kept_because = decision.value
         log.info(
-            "%s may hold a task cancelled %.1f s ago, is silent for %.1f s: %s",
+            "machine %s may hold a task cancelled %.1f s ago and has been silent for %.1f s: %s",
             machine.name, now - since, now - machine.seen_at, decision.value, extra={"machine": machine.name},
         )  # fmt: skip
 
     async def _probe(self, machine: Machine) -> None:
+        """Ask a silent machine for a report.
+
+        Other controllers are asked to try too if it was never seen, or may be given up after this probe.
+        """
         report: Report | None = None
         sent = self._leader_task.clock()
         with contextlib.suppress(NotSent, Lost):
             report = await self._workers.inspect(machine.addr)
         through_others, heard = False, True
         if report is None and (machine.probes + 1 >= c.SILENT_PROBES or machine.seen_at < 0):
-            report, heard = await self._peers.inspect(machine.addr, self._reached)
+            report, heard = await self._peers.inspect(machine.addr, self._witnesses)
             through_others = report is not None
-        self._leader_task.command_loop.enqueue(lambda: self._probed(machine, report, sent, through_others, heard))
+        self._leader_task.command_loop.enqueue(
+            lambda: self._on_probe_result(machine, report, sent, through_others, heard)
+        )
 
-    def _probed(
+    def _on_probe_result(
         self, machine: Machine, report: Report | None, sent: float, through_others: bool, heard: bool
     ) -> None:  # fmt: skip
         machine.probing = False
-        if through_others:  # its reports are passed on, see Cluster.relayed
+        if through_others:  # its reports are forwarded, see Cluster.relayed
             machine.relay_until = self._leader_task.clock() + c.RELAY_STICKY_S
         machine.probes += heard
         machine.probes_unheard += not heard
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -100,7 +100,7 @@
             settings, term, replica, command_loop, clock, wall, self.cluster, self.planner, self.writer
         )
         self._rentals = Rentals(self._leader_task, cloud)
-        self._records = Records(self._leader_task, self._rentals.off_hire)
+        self._records = Records(self._leader_task, self._rentals.drop_from_hires)
         self._health = Health(self._leader_task, workers, peers, self._direct_report)
         self.ready = False
         self._heartbeats: list[_PendingHeartbeats] = []
--- a/pepperlatch/controller/leaderless.py
+++ b/pepperlatch/controller/leaderless.py
@@ -1,8 +1,8 @@
-"""Returns of machines that may hold a cancelled task, by a follower while nobody leads and nobody can be elected.
+"""Return of machines that may hold a cancelled task, by a follower while nobody leads and nobody can be elected.
 
-The leader tells all other controllers which machines these are, and a few that it hears of. A return needs no lease
-("Machines that hang" in `docs/safety.md`), so whoever was told may ask for it once the leader is silent and the state
-service, without which nobody succeeds it, answers this node no more.
+The leader sends all other controllers the list of these machines, and the addresses of a few machines that it reaches
+(witnesses). A return needs no lease ("Machines that hang" in `docs/safety.md`). So a follower that has the list may ask
+for it once the leader is silent and the state service, without which there is no successor, does not answer this node.
 """
 
 import contextlib
@@ -25,16 +25,19 @@
 
 
 @dataclass(slots=True)
-class _Told:
-    """A machine that the leader named."""
+class _ReturnCandidate:
+    """A machine on the leader's latest list."""
 
     addr: str
-    since: float  # no user was told earlier
-    unanswered: int = 0  # questions since nobody leads
+    since: float  # steady time before which no user was told of the cancellation
+    unanswered: int = 0  # probes without an answer since nobody leads
 
 
 class LeaderlessReturns:
-    """Asks the machines that the leader named last, and returns those that nobody reaches."""
+    """While nobody leads, probes the machines on the leader's latest list and returns those that nobody reaches.
+
+    Times are of the steady clock, in seconds. `leads` says whether this node leads.
+    """
 
     def __init__(
         self, times: Workers, clock: Callable[[], float], replica: Replica, leads: Callable[[], bool],
@@ -47,66 +50,77 @@
         self._workers = workers
         self._peers = peers
         self._cloud = cloud
-        self._told: dict[str, _Told] = {}
-        self._told_at = float("inf")
+        self._candidates: dict[str, _ReturnCandidate] = {}
+        self._updated_at = float("inf")
         self._witnesses: list[str] = []
 
     def update_machines(self, machines: list[CancelledOn], witnesses: list[str]) -> None:
-        """By the leader. What it does not name any more has shown that it holds no such task, or is gone."""
+        """Take in the leader's latest list, which replaces the one before, and its witnesses.
+
+        A machine that is no longer listed has shown that it holds no such task, or is gone.
+        """
         now = self._clock()
-        self._told_at = now
+        self._updated_at = now
         self._witnesses = witnesses
-        held, self._told = self._told, {}
+        previous, self._candidates = self._candidates, {}
         for row in machines:
-            since = now - row.ago_s - c.PROBE_S  # so long the message may have been under way
-            known = held.get(row.machine)
-            self._told[row.machine] = _Told(row.addr, since if known is None else min(since, known.since))
+            since = now - row.ago_s - c.PROBE_S  # the message may have taken up to `PROBE_S`
+            known = previous.get(row.machine)
+            self._candidates[row.machine] = _ReturnCandidate(
+                row.addr, since if known is None else min(since, known.since)
+            )
 
     async def run(self) -> None:
-        """Until cancelled. A request that was sent by then may be carried out."""
+        """Run until cancelled; a return that was requested by then may still be carried out."""
         while True:
             await trio.sleep(c.TICK_S)
-            if self._told and self._leaderless():
+            if self._candidates and self._leaderless():
                 await self._return_unanswered()
 
     def _leaderless(self) -> bool:
         now = self._clock()
-        leader_silent = now - self._told_at > c.LEADER_SILENT_S
+        leader_silent = now - self._updated_at > c.LEADER_SILENT_S
         return leader_silent and not self._leads() and now - self._replica.current_at > c.HANDOVER_STALE_S
 
     async def _return_unanswered(self) -> None:
-        """Those whose time has come and that neither this node nor another reaches, though some machine is reached."""
+        """Probe the machines whose return is due, and return those that no controller reaches.
+
+        A probe without an answer counts only if this node reaches a witness or another controller can tell.
+        """
         now = self._clock()
         due_s, most_s = return_after_s(self._times), self._times.cancel_s
-        due = [name for name, held in self._told.items() if due_s < now - held.since <= most_s]
+        due = [name for name, machine in self._candidates.items() if due_s < now - machine.since <= most_s]
         due = sorted(due)[: c.RELEASE_MOST]
         if not due:
             return
-        reaches = await self._peers.reaches(self._witnesses)
+        witness_reached = await self._peers.reaches(self._witnesses)
         async with trio.open_nursery() as nursery:
             for name in due:
-                nursery.start_soon(self._ask, self._told[name], reaches)
-        silent = [name for name in due if name in self._told and self._told[name].unanswered >= c.SILENT_PROBES]
+                nursery.start_soon(self._probe, self._candidates[name], witness_reached)
+        silent = [
+            name for name in due if name in self._candidates and self._candidates[name].unanswered >= c.SILENT_PROBES
+        ]
         if silent and self._leaderless():
             await self._release(silent)
 
-    async def _ask(self, held: _Told, reaches: bool) -> None:
+    async def _probe(self, machine: _ReturnCandidate, witness_reached: bool) -> None:
+        """Inspect one machine, directly and then through the other controllers, and count failed probes in a row."""
         with contextlib.suppress(NotSent, Lost):
-            await self._workers.inspect(held.addr)
-            held.unanswered = 0
+            await self._workers.inspect(machine.addr)
+            machine.unanswered = 0
             return
-        report, heard = await self._peers.inspect(held.addr, self._witnesses)
+        report, heard = await self._peers.inspect(machine.addr, self._witnesses)
         if report is not None:
-            held.unanswered = 0
-        elif reaches or heard:
-            held.unanswered += 1
+            machine.unanswered = 0
+        elif witness_reached or heard:
+            machine.unanswered += 1
 
     async def _release(self, names: list[str]) -> None:
-        log.info("nobody leads: return %s: silent, perhaps with a cancelled task", ", ".join(names))
+        log.info("nobody leads: returning %s to the cloud, silent and perhaps with a cancelled task", ", ".join(names))
         try:
             await self._cloud.release(names)
         except CloudTrouble as error:
-            log.info("release: %s", error)
+            log.info("the cloud did not confirm the return of machines, retrying while nobody leads: %s", error)
             return
         for name in names:
-            self._told.pop(name, None)
+            self._candidates.pop(name, None)
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -1,4 +1,7 @@
-"""What a leader has to do with the cloud: hiring, lists, prices and returns, each recorded before it is asked for."""
+"""The leader's requests to the cloud: renting and returning machines, the list of machines, types and prices.
+
+A hire is recorded in the state service before it is requested, so that no leader can lose track of the machines.
+"""
 
 import logging
 from collections import Counter
@@ -18,14 +21,23 @@
 
 
 class Rentals:
+    """Rents and returns machines during one term; the `..._loop` coroutines run until the term is over.
+
+    `_open_hires` maps the name of each recorded hire to its machines that have no record of their own yet. While the
+    request has no answer it holds "" in their place.
+    """
+
     def __init__(self, leader_task: LeaderTask, cloud: CloudClient) -> None:
         self._leader_task = leader_task
         self._cloud = cloud
-        self._hires = 0
-        self._hire_of: dict[str, set[str]] = {}  # hire record -> its machines that are not recorded yet
+        self._hire_count = 0
+        self._open_hires: dict[str, set[str]] = {}
 
     def rent(self, now: float) -> None:
-        """A few calls at once, the largest first: what waits for its turn is asked for with what comes meanwhile."""
+        """Request the machines that the planner wants, the largest requests first, at most `HIRES_AT_ONCE` at once.
+
+        The rest is requested in later calls, together with what is wanted by then.
+        """
         free = c.HIRES_AT_ONCE - len(self._leader_task.planner.asked)
         if free <= 0:
             return
@@ -34,27 +46,31 @@
             self._hire(offer, count)
 
     def _hire(self, offer: Offer, count: int) -> None:
-        """The request's name is recorded first: its machines can then never be forgotten."""
-        self._hires += 1
-        name = f"{self._leader_task.settings.node}-{self._leader_task.term.token}-{self._hires}"
+        """Record the hire under a name of its own, then request it; a later leader repeats what is recorded."""
+        self._hire_count += 1
+        name = f"{self._leader_task.settings.node}-{self._leader_task.term.token}-{self._hire_count}"
         self._leader_task.planner.asked[offer] += count
         record = store.HireRecord(offer.type, offer.zone, offer.spot, count)
-        self._hire_of[name] = {""}
+        self._open_hires[name] = {""}
 
-        def recorded(applied: bool) -> None:
-            self._leader_task.spawn(self._ask, name, record)
+        def on_outcome(applied: bool) -> None:
+            self._leader_task.spawn(self._request_hire, name, record)
 
-        self._leader_task.writer.add(Write([wire.put(store.HIRE + name, wire.to_plain(record))], recorded))
+        self._leader_task.writer.add(Write([wire.put(store.HIRE + name, wire.to_plain(record))], on_outcome))
 
     def repeat_hire(self, name: str, record: store.HireRecord) -> None:
-        """An earlier leader's hire: asking again gives the same answer, or rents what it wanted."""
+        """Repeat a hire that an earlier leader recorded.
+
+        The cloud answers a repeated name as it did before, or rents the machines now if the request was lost.
+        """
         offer = Offer(record.type, record.zone, record.spot)
         if record.type in self._leader_task.cluster.types:
             self._leader_task.planner.asked[offer] += record.count
-        self._hire_of[name] = {""}
-        self._leader_task.spawn(self._ask, name, record)
+        self._open_hires[name] = {""}
+        self._leader_task.spawn(self._request_hire, name, record)
 
-    async def _ask(self, name: str, record: store.HireRecord) -> None:
+    async def _request_hire(self, name: str, record: store.HireRecord) -> None:
+        """Request a hire until the cloud answers or the term is over, and only while the leader's lease is valid."""
         offer = Offer(record.type, record.zone, record.spot)
         names: list[str] | None = []
         while not self._leader_task.term.over:
@@ -67,13 +83,14 @@
             except NoCapacity:
                 names = None
             except CloudTrouble as error:
-                log.info("hire %s: %s", name, error)
+                log.info("hire request %s failed, trying again: %s", name, error)
                 await trio.sleep(c.CLOUD_RETRY_S)
                 continue
             break
-        self._leader_task.command_loop.enqueue(lambda: self._hired(name, offer, record.count, names))
+        self._leader_task.command_loop.enqueue(lambda: self._on_hired(name, offer, record.count, names))
 
-    def _hired(self, hire: str, offer: Offer, count: int, names: list[str] | None) -> None:
+    def _on_hired(self, hire: str, offer: Offer, count: int, names: list[str] | None) -> None:
+        """Take in the answer to a hire: the names of the machines, or None if the cloud has no capacity."""
         now = self._leader_task.clock()
         self._leader_task.planner.asked[offer] -= count
         if self._leader_task.planner.asked[offer] <= 0:
@@ -83,8 +100,15 @@
         else:
             self._leader_task.planner.granted(offer)
         kind = self._leader_task.cluster.types.get(offer.type)
-        log.info("hired %s of %d: %s %s%s", names, count, offer.type, offer.zone, " spot" if offer.spot else "")
-        fresh = {""}
+        log.info(
+            "hired machines %s of %d requested: type %s, zone %s%s",
+            names,
+            count,
+            offer.type,
+            offer.zone,
+            " spot" if offer.spot else "",
+        )
+        unrecorded = {""}
         for name in names or []:
             known = self._leader_task.cluster.machines.get(name)
             if (
@@ -93,28 +117,29 @@
                 or (known is not None and known.status is not Status.BOOTING)
             ):
                 continue
-            fresh.add(name)
+            unrecorded.add(name)
             if known is not None:
                 known.unexpected = False
             else:
                 machine = Machine(name, kind, offer.zone, offer.spot, "", Status.BOOTING, now)
                 self._leader_task.cluster.machines[name] = machine
                 self._leader_task.cluster.listener.machine(machine, "hired", "", now)
-        self._hire_of[hire] = fresh
-        self.off_hire("")
+        self._open_hires[hire] = unrecorded
+        self.drop_from_hires("")
         self._leader_task.cluster.dirty = True
 
-    def off_hire(self, name: str) -> None:
-        """A hire's record goes once all its machines are recorded themselves, or gone."""
-        for hire, names in list(self._hire_of.items()):
+    def drop_from_hires(self, name: str) -> None:
+        """Note that a machine is recorded or gone, and delete each hire's record that no machine needs any more."""
+        for hire, names in list(self._open_hires.items()):
             names.discard(name)
             if not names:
-                del self._hire_of[hire]
+                del self._open_hires[hire]
                 self._leader_task.writer.add(Write([wire.delete(store.HIRE + hire)], lambda ok: None))
 
-    # --- the cloud's other calls ------------------------------------------------------------------
+    # --- types, lists and returns -----------------------------------------------------------------
 
     async def types_loop(self) -> None:
+        """Read machine types and prices every `PRICES_EVERY_S`."""
         while not self._leader_task.term.over:
             try:
                 types = await self._cloud.types()
@@ -124,7 +149,7 @@
                 await trio.sleep(c.CLOUD_RETRY_S)
 
     def _on_types(self, types: list[wire.MachineType]) -> None:
-        """Machine types are kept for nodes that start while the cloud is away."""
+        """Take in types and prices; types are recorded for nodes that start while the cloud is unavailable."""
         for kind in types:
             known = self._leader_task.cluster.types.get(kind.name)
             if known is not None:
@@ -139,22 +164,24 @@
                 self._leader_task.writer.add(Write([change], lambda ok: None))
 
     async def list_loop(self) -> None:
+        """Read the list of rented machines every `CLOUD_LIST_EVERY_S`."""
         while not self._leader_task.term.over:
             try:
                 listed = await self._cloud.machines()
                 self._leader_task.command_loop.enqueue(lambda x=listed: self._on_list(x))  # type: ignore[misc]
             except CloudTrouble as error:
-                log.info("machine list: %s", error)
+                log.info("reading the cloud's list of machines failed, trying again: %s", error)
             await trio.sleep(c.CLOUD_LIST_EVERY_S)
 
     def _on_list(self, listed: list[wire.Listed]) -> None:
+        """Take in the cloud's list: add unknown machines, release failed ones and those that vanish while booting."""
         now = self._leader_task.clock()
         names = {item.name for item in listed}
         for item in listed:
             machine = self._leader_task.cluster.machines.get(item.name)
             kind = self._leader_task.cluster.types.get(item.type)
             if machine is None and kind is not None and item.name not in self._leader_task.cluster.gone:
-                log.info("unexpected machine %s in the list", item.name)
+                log.info("the cloud lists machine %s, which this leader does not know: adding it", item.name)
                 machine = Machine(
                     item.name, kind, item.zone, item.spot, item.addr or "", Status.BOOTING, now - item.age_s
                 )
@@ -162,21 +189,21 @@
                 self._leader_task.cluster.dirty = True
             if machine is not None:
                 machine.listed = True
-                if machine.status is Status.BOOTING:  # a repeated hire, or a report, tells nothing of its age
+                if machine.status is Status.BOOTING:  # a repeated hire or a report does not tell its age
                     machine.born = min(machine.born, now - item.age_s)
                 if item.state == wire.FAILED:
                     self._leader_task.cluster.release(machine, "failed")
-        lag = self._leader_task.settings.params.cloud.list_lag_s * c.LIST_LAG_TIMES + c.CLOUD_LIST_EVERY_S
+        lag_s = self._leader_task.settings.params.cloud.list_lag_s * c.LIST_LAG_TIMES + c.CLOUD_LIST_EVERY_S
         for machine in list(self._leader_task.cluster.machines.values()):
             if (
                 machine.name not in names
                 and machine.status is Status.BOOTING
-                and (machine.listed or now - machine.born > 2 * lag)
+                and (machine.listed or now - machine.born > 2 * lag_s)
             ):
                 self._leader_task.cluster.release(machine, "not listed any more")
 
     async def release_loop(self) -> None:
-        """Return machines while the lease is sure; a request without an answer holds up those behind it."""
+        """Return released machines while the lease is valid, one request at a time."""
         while not self._leader_task.term.over:
             await trio.sleep(c.TICK_S / 5)
             names = sorted(self._leader_task.cluster.to_release)[: c.RELEASE_MOST]
@@ -184,9 +211,10 @@
                 await self._release(names)
 
     async def release_cancelled_loop(self) -> None:
-        """Return machines that may hold a cancelled task, sure or not, behind nobody: their time is short.
+        """Return machines that may hold a cancelled task, whether or not the lease is valid.
 
-        Why that needs no lease: "Machines that hang" in `docs/safety.md`.
+        Their time is short, so they don't wait behind the requests of `release_loop`. Why this needs no lease is said
+        in `docs/safety.md`, "Machines that hang".
         """
         while not self._leader_task.term.over:
             await trio.sleep(c.TICK_S / 5)
@@ -197,16 +225,17 @@
                 await self._release(urgent)
 
     async def _release(self, names: list[str]) -> None:
+        """Ask the cloud to take machines back; after an error they stay in `Cluster.to_release` to be tried again."""
         self._leader_task.cluster.releasing.update(names)
         try:
             await self._cloud.release(names)
-            self._leader_task.command_loop.enqueue(lambda: self._released(names))
+            self._leader_task.command_loop.enqueue(lambda: self._on_released(names))
             self._leader_task.cluster.to_release.difference_update(names)
         except CloudTrouble as error:
-            log.info("release: %s", error)
+            log.info("returning machines to the cloud failed, trying again: %s", error)
             await trio.sleep(c.CLOUD_RETRY_S)
 
-    def _released(self, names: list[str]) -> None:
+    def _on_released(self, names: list[str]) -> None:
         now = self._leader_task.clock()
         for name in names:
             machine = self._leader_task.cluster.machines.get(name)
@@ -214,4 +243,4 @@
                 self._leader_task.planner.granted(Offer(machine.type.name, machine.zone, machine.spot))
             self._leader_task.cluster.remove_machine(name, now)
             self._leader_task.writer.add(Write([wire.delete(store.MACHINE + name)], lambda ok: None))
-            self.off_hire(name)
+            self.drop_from_hires(name)
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -175,7 +175,7 @@
         cluster=cluster, planner=planner, settings=settings_of(0), spawn=lambda task, one: begun.append(one.name)
     )  # fmt: skip
     unused: Any = None
-    Health(leader_task, unused, unused, unused).check(c.FENCE_SILENT_S + 0.5, sure=True)
+    Health(leader_task, unused, unused, unused).check(c.FENCE_SILENT_S + 0.5, lease_valid=True)
     assert planner.zones.cut("c") and begun == ["n-0"]
 
 
