--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -203,7 +203,7 @@
                 self._leader_task.cluster.release(machine, "not listed any more")
 
     async def release_loop(self) -> None:
-        """Return released machines while the lease is valid, one request at a time."""
+        """Return released machines while the lease is valid; a request without an answer delays those behind it."""
         while not self._leader_task.term.over:
             await trio.sleep(c.TICK_S / 5)
             names = sorted(self._leader_task.cluster.to_release)[: c.RELEASE_MOST]
--- a/pepperlatch/controller/store.py
+++ b/pepperlatch/controller/store.py
@@ -122,7 +122,7 @@
     loaded: bool = False
     current_at: float = -math.inf  # all that was confirmed before then is in the copy: when the latest read was sent
     jobs: dict[str, JobEntry] = field(default_factory=dict)
-    done: dict[str, dict[int, tuple[bytes, int]]] = field(default_factory=dict)  # read by every version
+    done: dict[str, dict[int, tuple[bytes, int]]] = field(default_factory=dict)  # read and written by every version
     done_fine: dict[str, dict[int, tuple[bytes, int]]] = field(default_factory=dict)
     parts: dict[str, dict[int, str]] = field(default_factory=dict)
     prerequisites: Prerequisites = field(default_factory=Prerequisites)
--- a/pepperlatch/controller/writer.py
+++ b/pepperlatch/controller/writer.py
@@ -57,7 +57,7 @@
         return min(self._max_changes, self._state.later_most())
 
     def add(self, write: Write, deferred: bool = False) -> None:
-        """Queue a write. A `deferred` one, for which nobody waits, is written only while the write budget has spare."""
+        """Queue a write. A `deferred` one, for which nobody waits, is left until the budget exceeds others' needs."""
         (self._deferred if deferred else self._queue).append(write)
         self._wake.set()
 
