--- a/pepperlatch/controller/attestation.py
+++ b/pepperlatch/controller/attestation.py
@@ -80,6 +80,7 @@
         return Response(200, wire.to_plain(self._attest(request)))
 
     def _attest(self, request: AttestationRequest) -> Attestation:
+        """Return the cancellations that this node knows since the requested revision, at most about `VOUCH_MOST`."""
         leader_key, term = self._replica.leader, self._leadership.term
         leads = [term.token] if term is not None and not term.over else []
         token = max([leader_key[1] if leader_key is not None else 0, *leads])
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -102,7 +102,7 @@
         self._rentals = Rentals(self._leader_task, cloud)
         self._records = Records(self._leader_task, self._rentals.drop_from_hires)
         self._health = Health(self._leader_task, workers, peers, self._direct_report)
-        self.ready = False
+        self.ready = False  # whether the records are loaded; heartbeats are refused until then
         self._heartbeats: list[_PendingHeartbeats] = []
         self._rented_at = 0.0
         self._plan_not_before = 0.0
@@ -174,6 +174,7 @@
         cluster.listener.noted("takeover", took, now)
 
     def _load_machine(self, name: str, record: store.MachineRecord, now: float) -> None:
+        """Take over a recorded machine as up, and have it fenced."""
         kind = self.cluster.types.get(record.type)
         if kind is None:
             log.error("machine %s has the unknown type %s; returning it to the cloud", name, record.type)
@@ -313,12 +314,14 @@
         reply.resolve(self.cluster.delegate(follower, statement, until, now))
 
     def _direct_report(self, report: Report, asked_at: float, through_others: bool = False) -> None:
+        """Take in a report that was requested at `asked_at`, `through_others` if another controller forwarded it."""
         self.cluster.on_report(
             report, self.clock(), beat=False, through_others=through_others, asked_at=asked_at
         )  # fmt: skip
         self._check_higher_token()
 
     def _check_higher_token(self) -> None:
+        """End the term if a report has shown that a worker obeys a newer leader."""
         if self.cluster.higher_token:
             log.info(
                 "a worker has seen a token higher than %d: a newer leader exists, ending this term", self.term.token
--- a/pepperlatch/controller/leaderless.py
+++ b/pepperlatch/controller/leaderless.py
@@ -78,6 +78,7 @@
                 await self._return_unanswered()
 
     def _leaderless(self) -> bool:
+        """Return whether the leader is silent, this node does not lead, and its reads of the state service are old."""
         now = self._clock()
         leader_silent = now - self._updated_at > c.LEADER_SILENT_S
         return leader_silent and not self._leads() and now - self._replica.current_at > c.HANDOVER_STALE_S
@@ -116,6 +117,7 @@
             machine.unanswered += 1
 
     async def _release(self, names: list[str]) -> None:
+        """Ask the cloud to take machines back; they stay candidates if it does not confirm that."""
         log.info("nobody leads: returning %s to the cloud, silent and perhaps with a cancelled task", ", ".join(names))
         try:
             await self._cloud.release(names)
--- a/pepperlatch/controller/leadership.py
+++ b/pepperlatch/controller/leadership.py
@@ -32,11 +32,11 @@
     """
 
     token: int
-    lease: int
+    lease: int  # id of the lease in the state service
     lease_confirmed_at: float
     lease_extension_s: float
     replica: store.Replica
-    over: bool = False
+    over: bool = False  # set once and for all; everything that runs for the term then stops
     lease_confirmed_since: float = -math.inf  # confirmed renewals have had no gap since then
     attested_at: float = -math.inf  # when attestations were requested that made the copy as current as a read
 
@@ -158,6 +158,7 @@
         await trio.sleep(c.STATE_RETRY_S)  # until the watch shows the deletion
 
     async def _revoke_lease(self, lease: int) -> None:
+        """Revoke the lease if the state service answers; else it expires."""
         try:
             await self._state.revoke(lease)
         except (Away, Unsure):
@@ -176,6 +177,7 @@
             nursery.cancel_scope.cancel()
 
     async def _touch(self, term: Term) -> None:
+        """Renew the lease once; end the term if the state service says that the lease has ended."""
         sent = self._clock()
         try:
             await self._state.touch(term.lease, c.LEADER_LEASE_MS / 1000)
--- a/pepperlatch/controller/writer.py
+++ b/pepperlatch/controller/writer.py
@@ -84,6 +84,7 @@
                 await trio.sleep(c.STATE_RETRY_S)
 
     async def _wait_for_work(self) -> None:
+        """Wait for a new write, or until a deferred or refused one may have to be looked at again."""
         self._wake = trio.Event()
         with trio.move_on_after(c.LATER_PAUSE_S if self._deferred else c.REFUSED_PAUSE_S):
             await self._wake.wait()
@@ -124,6 +125,7 @@
         return batch
 
     def _leader_conditions(self) -> list[dict[str, Any]]:
+        """Return the conditions that this node leads and that the write fence has not been advanced."""
         return [wire.when(store.LEADER, self._term.token), wire.when(store.WRITE_FENCE, self.fence_version)]
 
     async def _advance_fence(self) -> bool:
