--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -81,7 +81,7 @@
                 await trio.sleep(c.REFRESH_S)
                 continue
             enough = self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2  # answers go first
-            if model.pending() and enough and not model.leader.owner.long():
+            if model.pending() and enough and not model.leader.command_loop.is_backlogged():
                 with self._charged(now):
                     model.refresh()
             await trio.sleep(c.ROWS_PAUSE_S)
@@ -102,7 +102,7 @@
         keep_s = c.PAGE_KEPT_S if whole else c.REFRESH_S
         if kept is not None and now - kept.made_at < keep_s and kept.token == model.leader.term.token:
             return kept
-        if self._budget.available(now) <= 0 or model.leader.owner.long():
+        if self._budget.available(now) <= 0 or model.leader.command_loop.is_backlogged():
             if kept is not None and now - kept.made_at < c.AGE_MOST_S:
                 older = {**kept.answer, "age_s": round(now - kept.made_at, 1), "busy": True}
                 return _Kept(kept.made_at, kept.token, older)
@@ -213,7 +213,7 @@
 
     async def _passed_on(self, path: str, text: str) -> Response:
         """The leader's answer; if there is none, what this node knows itself, and how old that is."""
-        held = self._core.watched.replica.leader
+        held = self._core.watcher.replica.leader
         peer = next((p for p in self._core.settings.peers if held is not None and p.node == held[0]), None)
         why = "nobody leads"
         if peer is not None:
@@ -232,7 +232,7 @@
 
     def _of_records(self, path: str, text: str, why: str) -> Response:
         """Jobs as the records say, with what the leader last told of them."""
-        core, replica = self._core, self._core.watched.replica
+        core, replica = self._core, self._core.watcher.replica
         if path not in (f"{BASE}/jobs", f"{BASE}/overview"):
             return Response(503, {"error": f"only the leader knows that, and {why}"}, {"Retry-After": "2"})
         told, wall = core.leader_snapshot(), core.wall()
--- a/pepperlatch/controller/admin.py
+++ b/pepperlatch/controller/admin.py
@@ -8,7 +8,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
-from pepperlatch.controller.store import Watched
+from pepperlatch.controller.store import StateWatcher
 from pepperlatch.policy.operator_settings import OPERATOR_SETTINGS, InvalidSetting, OperatorSettings, validated
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
@@ -28,8 +28,8 @@
 class AdminApi:
     """Serves `/admin/`. Settings are stored in the state service, so any node may change them."""
 
-    def __init__(self, watched: Watched, state: StateClient, view: Callable[[], dict[str, Any]]) -> None:
-        self._watched = watched
+    def __init__(self, watcher: StateWatcher, state: StateClient, view: Callable[[], dict[str, Any]]) -> None:
+        self._watcher = watcher
         self._state = state
         self._view = view
 
@@ -44,7 +44,7 @@
             if request.path == VIEW and request.method == "GET":
                 return Response(200, self._view())
             if request.path == SETTINGS and request.method == "GET":
-                await self._watched.sync()
+                await self._watcher.sync()
                 return Response(200, self._describe())
             if request.path == SETTINGS and request.method == "PUT":
                 return await self._change(request.body)
@@ -54,7 +54,7 @@
 
     def _describe(self) -> dict[str, Any]:
         """All settings in force with default, bounds, unit and reason, and the version that a change has to name."""
-        stored, version = self._watched.replica.tuning
+        stored, version = self._watcher.replica.tuning
         current = OperatorSettings(stored).values()
         fields = {
             name: {
@@ -85,8 +85,8 @@
             values = {name: validated(name, value) for name, value in changes.items()}
         except InvalidSetting as error:
             return Response(400, {"error": str(error), "field": str(error).partition(":")[0]})
-        await self._watched.sync()
-        stored, current = self._watched.replica.tuning
+        await self._watcher.sync()
+        stored, current = self._watcher.replica.tuning
         if version != current:
             return Response(409, {"error": "stale version", "version": current})
         outcome = await self._state.txn(
@@ -94,5 +94,5 @@
         )
         if not outcome.applied:
             return Response(409, {"error": "stale version"})
-        await self._watched.sync()
+        await self._watcher.sync()
         return Response(200, self._describe())
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -15,13 +15,13 @@
 import trio
 
 from pepperlatch.constants import core as c
+from pepperlatch.controller.attestation import PeerAttestation
+from pepperlatch.controller.command_loop import CommandLoop, Reply
 from pepperlatch.controller.heartbeats.handler import HeartbeatHandler, LeaderContact
 from pepperlatch.controller.leader import Leader
 from pepperlatch.controller.leaderless import LeaderlessReturns
 from pepperlatch.controller.leadership import Leadership
-from pepperlatch.controller.owner import Owner, Reply
 from pepperlatch.controller.store import Replica
-from pepperlatch.controller.vouching import Vouching
 from pepperlatch.policy.cancellations import CancelledOn
 from pepperlatch.policy.delegation import DelegationAnswer, DelegationStatement
 from pepperlatch.policy.images import ImageMemory
@@ -65,18 +65,18 @@
     """
 
     def __init__(
-        self, settings: Settings, network: Network, clock: Callable[[], float], owner: Owner, replica: Replica,
-        heartbeats: HeartbeatHandler, leadership: Leadership, vouching: Vouching, images: ImageMemory,
-        leader: Callable[[], Leader | None], leaderless: LeaderlessReturns,
+        self, settings: Settings, network: Network, clock: Callable[[], float], command_loop: CommandLoop,
+        replica: Replica, heartbeats: HeartbeatHandler, leadership: Leadership, attestation: PeerAttestation,
+        images: ImageMemory, leader: Callable[[], Leader | None], leaderless: LeaderlessReturns,
     ) -> None:  # fmt: skip
         self._settings = settings
         self._network = network
         self._clock = clock
-        self._owner = owner
+        self._command_loop = command_loop
         self._replica = replica
         self._heartbeats = heartbeats
         self._leadership = leadership
-        self._vouching = vouching
+        self._attestation = attestation
         self._images = images
         self._leader = leader
         self._leaderless = leaderless
@@ -116,8 +116,8 @@
         The contact itself must not wait for a busy leader.
         """
         reply: Reply[DelegationAnswer | None] = Reply()
-        proven_at = leader.term.proven_at()
-        self._owner.post(lambda: leader.on_statement(follower, statement, proven_at, reply))
+        copy_current_at = leader.term.copy_current_at()
+        self._command_loop.enqueue(lambda: leader.on_delegation_statement(follower, statement, copy_current_at, reply))
         with trio.move_on_after(c.DELEGATION_WAIT_S):
             return await reply.get()
         return None
@@ -143,7 +143,7 @@
         message = _parse_message(body)
         if message is None:
             return Response(400, {"error": "wanted: node and token"})
-        self._leaderless.told(message.cancelled, message.witnesses)
+        self._leaderless.update_machines(message.cancelled, message.witnesses)
         return Response(200, self._heartbeats.revoke_renewal(message.relay))
 
     # --- sending requests -------------------------------------------------------------------------
@@ -160,7 +160,7 @@
                     for peer in self._settings.peers:
                         nursery.start_soon(self._revoke_renewal, leader, peer, message)
                     if self._clock() - self._replica.current_at > c.VOUCH_AFTER_S:
-                        nursery.start_soon(self._vouching.ask, leader.term)
+                        nursery.start_soon(self._attestation.request_attestations, leader.term)
                 if reason := self._handover_reason(leader):
                     log.info("handing over leadership: %s", reason)
                     await self._leadership.resign(c.HANDOVER_PAUSE_S)
@@ -172,7 +172,7 @@
         if self._isolated(leader):
             return "neither workers nor other controllers reach this leader"
         term = leader.term
-        if term.checked_at - max(self._replica.current_at, term.answered_since) > c.HANDOVER_STALE_S:
+        if term.lease_confirmed_at - max(self._replica.current_at, term.lease_confirmed_since) > c.HANDOVER_STALE_S:
             return "the state service answers this leader's lease renewals, but not its reads"
         return ""
 
@@ -234,7 +234,7 @@
         if answer is not None:
             self._peer_answered_at = self._clock()
             until = sent + c.STAND_IN_BAR_S - c.STAND_IN_SLACK_S
-            self._owner.post(lambda: leader.cluster.on_promise(peer.node, answer, until, self._clock()))
+            self._command_loop.enqueue(lambda: leader.cluster.on_promise(peer.node, answer, until, self._clock()))
 
     async def _request(self, peer: Peer, path: str, message: PeerMessage) -> dict[str, Any] | None:
         """The peer's answer, or None if there is no usable one within PROBE_S."""
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -13,18 +13,18 @@
 from pepperlatch import __version__
 from pepperlatch.constants import core as c
 from pepperlatch.controller.admin import AdminApi
+from pepperlatch.controller.attestation import PEER_ATTEST, PEER_CANCELLED, PeerAttestation
+from pepperlatch.controller.command_loop import CommandLoop
 from pepperlatch.controller.contacts import PEER_CONTACT, PEER_REVOKE_RENEWAL, Contacts
 from pepperlatch.controller.extensions import Extension, ExtensionContext, Extensions, LeaderSnapshot
 from pepperlatch.controller.heartbeats.forwarding import PEER_HEARTBEAT, PEER_HEARTBEATS
 from pepperlatch.controller.heartbeats.handler import HeartbeatHandler
 from pepperlatch.controller.leader import Leader
 from pepperlatch.controller.leaderless import LeaderlessReturns
-from pepperlatch.controller.leadership import Leadership, Term, hold_seconds
-from pepperlatch.controller.owner import Owner
+from pepperlatch.controller.leadership import Leadership, Term, lease_extension_seconds
 from pepperlatch.controller.peers import PEER_FENCE, PEER_INSPECT, PeerProxy
-from pepperlatch.controller.store import Replica, Watched
+from pepperlatch.controller.store import Replica, StateWatcher
 from pepperlatch.controller.users import JobProgress, UserApi
-from pepperlatch.controller.vouching import PEER_CANCELLED, PEER_VOUCH, Vouching
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.reasons import Reason, Why
 from pepperlatch.protocol import wire
@@ -69,18 +69,25 @@
         self.workers = WorkerClient(network)
         self.peers = PeerProxy(settings, network, self.workers)
         self.replica = Replica()
-        self.watched = Watched(self.state, self.replica, self._on_watch_change)
-        hold_s = hold_seconds(params.workers.cancel_s, params.workers.lease_s)
-        self.leadership = Leadership(settings.node, self.state, self.replica, hold_s, clock, seed)
-        self.vouching = Vouching(network, settings.peers, self.watched, self.leadership, clock)
-        self.owner = Owner(self._settle, c.TICK_S / 5)
+        self.watcher = StateWatcher(self.state, self.replica, self._on_watch_change)
+        lease_extension_s = lease_extension_seconds(params.workers.cancel_s, params.workers.lease_s)
+        self.leadership = Leadership(settings.node, self.state, self.replica, lease_extension_s, clock, seed)
+        self.attestation = PeerAttestation(network, settings.peers, self.watcher, self.leadership, clock)
+        self.command_loop = CommandLoop(self._settle, c.TICK_S / 5)
         self.heartbeats = HeartbeatHandler(
-            settings, network, clock, self.owner, self.replica, self.state, hold_s, lambda: self.leader
+            settings,
+            network,
+            clock,
+            self.command_loop,
+            self.replica,
+            self.state,
+            lease_extension_s,
+            lambda: self.leader,
         )
-        self.users = UserApi(settings, self.watched, self.state, wall, self._progress, self.vouching.tell)
-        self.admin = AdminApi(self.watched, self.state, self.view)
+        self.users = UserApi(settings, self.watcher, self.state, wall, self._progress, self.attestation.notify_leader)
+        self.admin = AdminApi(self.watcher, self.state, self.view)
         context = ExtensionContext(
-            settings, self.users, self.watched, self.state, wall, clock, network, lambda: self.leader,
+            settings, self.users, self.watcher, self.state, wall, clock, network, lambda: self.leader,
             lambda: LeaderSnapshot(self.heartbeats.leader_contact.requested_at, self._progress),
         )  # fmt: skip
         self.extensions = Extensions([create(context) for create in extensions])
@@ -89,8 +96,8 @@
             params.workers, clock, self.replica, lambda: self.leader is not None, self.workers, self.peers, self.cloud
         )
         self.contacts = Contacts(
-            settings, network, clock, self.owner, self.replica, self.heartbeats, self.leadership, self.vouching,
-            self.images, lambda: self.leader, self.leaderless,
+            settings, network, clock, self.command_loop, self.replica, self.heartbeats, self.leadership,
+            self.attestation, self.images, lambda: self.leader, self.leaderless,
         )  # fmt: skip
         self.leader: Leader | None = None
         self._nursery: trio.Nursery | None = None
@@ -104,10 +111,10 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             loops = (
-                self.owner.run, self.watched.watch, self.watched.serve_syncs, self.users.create_loop,
+                self.command_loop.run, self.watcher.watch, self.watcher.serve_syncs, self.users.create_loop,
                 self.contacts.run, self._health_loop, self._preferred_controllers_loop, self._machine_types_loop,
                 self.extensions.run, self.heartbeats.forwarder.run, self.leaderless.run,
-                partial(self.watched.keep_current, lambda: self.leader is not None),
+                partial(self.watcher.keep_current, lambda: self.leader is not None),
             )  # fmt: skip
             for loop in loops:
                 nursery.start_soon(loop)
@@ -120,7 +127,7 @@
             self.leader = None
             return
         self.leader = Leader(
-            self.settings, term, self.replica, self.state, self.cloud, self.workers, self.owner,
+            self.settings, term, self.replica, self.state, self.cloud, self.workers, self.command_loop,
             self._clock, self._wall, self.peers, self.images,
         )  # fmt: skip
         self.leader.cluster.listener = self.extensions.listener(self.leader)
@@ -133,15 +140,15 @@
 
         The leader's key is checked first, so that a loss of leadership is noticed before any later change of a job.
         """
-        self.leadership.check_key()
+        self.leadership.check_leader_key()
         leader = self.leader
         if leader is not None and not leader.term.over:
-            self.owner.post(lambda: leader.on_jobs(touched))
+            self.command_loop.enqueue(lambda: leader.on_jobs(touched))
 
     def _settle(self) -> None:
         """Called by the owner after each batch of commands."""
         if self.leader is not None:
-            self.leader.settle()
+            self.leader.after_batch()
 
     # --- listener for users and workers -----------------------------------------------------------
 
@@ -192,10 +199,10 @@
             return await self.peers.serve(request)
         if request.path == PEER_REVOKE_RENEWAL and request.method == "POST":
             return self.contacts.serve_revocation(request.body)
-        if request.path == PEER_VOUCH and request.method == "POST":
-            return self.vouching.serve(request.body)
+        if request.path == PEER_ATTEST and request.method == "POST":
+            return self.attestation.serve_request(request.body)
         if request.path == PEER_CANCELLED and request.method == "POST":
-            return self.vouching.serve_cancelled(request.body)
+            return self.attestation.serve_cancelled(request.body)
         if request.path == PEER_HEALTH:
             state = self.replica.loaded and await self._state_service_answers()
             return Response(200, {"state": state, "leader": self.heartbeats.hears_leader()})
--- a/pepperlatch/controller/extensions.py
+++ b/pepperlatch/controller/extensions.py
@@ -17,7 +17,7 @@
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
 from pepperlatch.controller.leadership import Term
-from pepperlatch.controller.store import Watched
+from pepperlatch.controller.store import StateWatcher
 from pepperlatch.controller.users import JobProgress, UserApi
 from pepperlatch.policy.events import Listener, NullListener
 from pepperlatch.policy.model import Attempt, Job, Machine
@@ -46,7 +46,7 @@
 
     settings: Settings
     users: UserApi
-    watched: Watched
+    watcher: StateWatcher
     state: StateClient
     wall: Callable[[], float]  # time of day, in seconds
     clock: Callable[[], float]  # steady, in seconds
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -15,11 +15,11 @@
 import trio
 
 from pepperlatch.constants import core as c
+from pepperlatch.controller.command_loop import CommandLoop, Reply
 from pepperlatch.controller.heartbeats.delegation import DelegatedAnswers
 from pepperlatch.controller.heartbeats.forwarding import HeartbeatForwarder
 from pepperlatch.controller.leader import GRANT, HeartbeatAnswer, Leader
-from pepperlatch.controller.leadership import keeps_alive_until
-from pepperlatch.controller.owner import Owner, Reply
+from pepperlatch.controller.leadership import renewal_deadline
 from pepperlatch.controller.store import Replica
 from pepperlatch.policy.cluster import PROCESS_AGE
 from pepperlatch.policy.heartbeat_router import HeartbeatRouter
@@ -52,15 +52,15 @@
     """
 
     def __init__(
-        self, settings: Settings, network: Network, clock: Clock, owner: Owner, replica: Replica,
-        state: StateClient, hold_s: float, leader: Callable[[], Leader | None],
+        self, settings: Settings, network: Network, clock: Clock, command_loop: CommandLoop, replica: Replica,
+        state: StateClient, lease_extension_s: float, leader: Callable[[], Leader | None],
     ) -> None:  # fmt: skip
         self.forwarder = HeartbeatForwarder(network, settings.node)
         self._clock = clock
-        self._owner = owner
+        self._command_loop = command_loop
         self._replica = replica
         self._state = state
-        self._hold_s = hold_s
+        self._lease_extension_s = lease_extension_s
         self._leader = leader
         self._lease_s = settings.params.workers.lease_s
         self._addr = {peer.node: peer.addr for peer in settings.peers}
@@ -141,8 +141,8 @@
         """
         leader = self._leader()
         reply: Reply[list[HeartbeatAnswer]] = Reply()
-        if leader is not None and not self._owner.full():
-            self._owner.post(lambda: leader.on_heartbeats(reports, follower, reply))
+        if leader is not None and not self._command_loop.is_full():
+            self._command_loop.enqueue(lambda: leader.on_heartbeats(reports, follower, reply))
             with trio.move_on_after(c.RELAY_S):
                 answers = await reply.get()
                 if answers is not None:
@@ -225,7 +225,7 @@
             and known_leader[1] == contact.token == report.token
             and not self._state_service_reachable()
             and now > max(self._renewal_revoked_until, self._began_at + c.STAND_IN_BAR_S)
-            and now < keeps_alive_until(self._hold_s, self._replica.current_at, contact.requested_at)
+            and now < renewal_deadline(self._lease_extension_s, self._replica.current_at, contact.requested_at)
         )
 
     def _renew_lease(self, report: Report) -> Response:
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -17,7 +17,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
-from pepperlatch.controller.store import Entry, Replica, Watched
+from pepperlatch.controller.store import JobEntry, Replica, StateWatcher
 from pepperlatch.policy import reasons
 from pepperlatch.policy.model import fits_type
 from pepperlatch.policy.quota import beyond_limit
@@ -68,7 +68,7 @@
 
     def changes(self, at: float) -> list[dict[str, Any]]:
         """The writes that store the job; `at`: time of day of the submission, in seconds."""
-        return store.created(self.spec, self.parts, at)
+        return store.creation_changes(self.spec, self.parts, at)
 
 
 def parse_job(body: bytes) -> Any:
@@ -135,7 +135,7 @@
     if entry.state in wire.FINAL:
         through = entry.through
         return None if through is None or through == job_id else Reason(Why.NEED_CANCELLED, names=(through,))
-    waits_for = replica.chain.unmet_needs(job_id)
+    waits_for = replica.prerequisites.unmet_needs(job_id)
     return Reason(Why.NEEDS, names=tuple(waits_for)) if waits_for else None
 
 
@@ -152,12 +152,12 @@
     """
 
     def __init__(
-        self, settings: Settings, watched: Watched, state: StateClient, wall: Callable[[], float],
+        self, settings: Settings, watcher: StateWatcher, state: StateClient, wall: Callable[[], float],
         progress: Callable[[str], JobProgress | None], notify_cancelled: CancellationNotifier = notify_nobody,
     ) -> None:  # fmt: skip
         self._settings = settings
-        self._watched = watched
-        self._replica: Replica = watched.replica
+        self._watcher = watcher
+        self._replica: Replica = watcher.replica
         self._state = state
         self._wall = wall
         self._progress = progress
@@ -218,7 +218,7 @@
         """
         needs = spec.needs or []
         if any(name not in self._replica.jobs for name in needs):
-            await self._watched.sync()
+            await self._watcher.sync()
         for name in needs:
             entry = self._replica.jobs.get(name)
             if entry is None:
@@ -234,7 +234,7 @@
         """
         spec = check_job(value)
         limits = self._settings.params.state
-        parts = store.parts_of(spec, limits.value_kb)
+        parts = store.description_parts(spec, limits.value_kb)
         if len(parts) >= limits.txn_ops or sum(map(len, parts)) > c.TXN_BYTES:
             raise Malformed("the description is longer than what is stored at once")
         types = self._replica.types or self.types
@@ -253,7 +253,7 @@
         assert isinstance(job_id, str)
         entry = self._replica.jobs.get(job_id)
         if entry is None or entry.state not in wire.FINAL:
-            await self._watched.sync()
+            await self._watcher.sync()
             entry = self._replica.jobs.get(job_id)
         return Response(200, self.describe(job_id, entry)) if entry is not None else None
 
@@ -261,7 +261,7 @@
         """Queue the job for `create_loop` and wait for the outcome, at most SUBMIT_WAIT_S."""
         if len(self._queue) >= self._state.writes_within(c.SUBMIT_WAIT_S):  # it would not be written in time
             return retry_later()
-        parts = store.parts_of(spec, self._settings.params.state.value_kb)
+        parts = store.description_parts(spec, self._settings.params.state.value_kb)
         submission = self._queue.setdefault(
             spec.id, _Submission(spec, parts=parts)
         )  # if two are in flight, one conflicts
@@ -349,7 +349,7 @@
 
     # --- looking up and cancelling ----------------------------------------------------------------
 
-    def describe(self, job_id: str, entry: Entry) -> dict[str, Any]:
+    def describe(self, job_id: str, entry: JobEntry) -> dict[str, Any]:
         """The answer to a poll, from this node's copy as it stands. Also used by pipelines."""
         tasks = entry.record.tasks
         if entry.state in wire.FINAL:
@@ -385,17 +385,17 @@
             return Response(404, {"error": "no such job"})
         with trio.move_on_after(c.SUBMIT_WAIT_S):
             while True:
-                await self._watched.sync()
+                await self._watcher.sync()
                 entry = self._replica.jobs.get(job_id)
                 if entry is None:
                     return Response(404, {"error": "no such job"})
                 if entry.state in wire.FINAL:
                     return Response(200, wire.job_answer(job_id, entry.state))
-                record = store.cancelled(entry.record, self._settings.params.state.value_kb, self._wall())
+                record = store.cancelled_record(entry.record, self._settings.params.state.value_kb, self._wall())
                 key = store.JOB + job_id
                 outcome = await self._state.txn([wire.when(key, entry.version)], [wire.put(key, wire.to_plain(record))])
                 if outcome.applied:  # learn it before the user is told: peers rely on what this node knows
-                    self._watched.learn([(job_id, record, outcome.revision)])
+                    self._watcher.learn([(job_id, record, outcome.revision)])
                     await self._notify_cancelled(job_id, record, outcome.revision)
                     return Response(200, wire.job_answer(job_id, JobState.CANCELLED))
         return retry_later()
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -59,15 +59,15 @@
     """
 
     def __init__(
-        self, node: str, token: int, params: Params, now: float, hold_s: float, spec_of: SpecOf,
+        self, node: str, token: int, params: Params, now: float, lease_extension_s: float, spec_of: SpecOf,
         cancelled_since: CancelledSince = lambda job_id: math.inf,
     ) -> None:  # fmt: skip
         self.node = node
         self.token = token
         self.params = params
-        self.hold_s = hold_s
+        self.lease_extension_s = lease_extension_s
         # leases that an earlier leader renewed, and sessions that it commanded, have ended by then
-        self.earlier_leaders_until = now + hold_s + params.workers.lease_s * (1 + c.CLOCK_DRIFT)
+        self.earlier_leaders_until = now + lease_extension_s + params.workers.lease_s * (1 + c.CLOCK_DRIFT)
         self._spec_of = spec_of
         self._cancelled_since = cancelled_since
         self.types: dict[str, MachineType] = {}
@@ -667,7 +667,7 @@
             last = max(last, self.earlier_leaders_until + c.LEASE_MARGIN_S - lease_s)
         return now > last + lease_s and all(
             (now <= other.promised_until and now > other.process_began_by + lease_s)
-            or now > other.answered_at + self.hold_s + lease_s
+            or now > other.answered_at + self.lease_extension_s + lease_s
             for other in self.stand_ins.values()
         )
 
@@ -722,7 +722,7 @@
         machine.heartbeat_at = min(machine.heartbeat_at, heard_at)
 
     def answered_peer(self, peer: str, now: float) -> None:
-        """This leader answers a peer's contact: from now on the peer may stand in, until `hold_s` s after it asked."""
+        """This leader answers a peer's contact: from now on the peer may stand in, until `lease_extension_s` s after it asked."""
         self.stand_ins.setdefault(peer, StandIn()).answered_at = now
 
     def on_promise(self, peer: str, stood_in: dict[str, float], until: float, now: float) -> None:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -11,7 +11,7 @@
 
 from pepperlatch.command import cli, talk
 from pepperlatch.controller import store
-from pepperlatch.controller.leadership import hold_seconds
+from pepperlatch.controller.leadership import lease_extension_seconds
 from pepperlatch.policy import draining, fleet, quota
 from pepperlatch.policy.model import Attempt, Job, Machine, Phase, Status
 from pepperlatch.policy.supply import FinishingSlot, ReplicaReserve, assign_finishing_slots, slack_s
@@ -272,15 +272,15 @@
     rounds = (({0, 7, 8, 32767, 32768}, 16.0), ({9, 12_000, 20_000, 99_999}, 2.0))
     for revision, (fresh, value_kb) in enumerate(rounds, 1):
         done = saved | fresh
-        savings = store.savings(replica, "run-1", done, saved, value_kb)
-        assert all(store.fits(s.value, value_kb) for s in savings)
+        savings = store.done_task_writes(replica, "run-1", done, saved, value_kb)
+        assert all(store.fits_value(s.value, value_kb) for s in savings)
         replica.apply(wire.Changes(revision, [wire.Change(revision, put=s.key, value=s.value) for s in savings]))
         saved = replica.done_tasks("run-1")
         assert saved == done
-    assert any(s.key.startswith(store.FINE) for s in savings)
+    assert any(s.key.startswith(store.DONE_FINE) for s in savings)
     large, version = replica.done["run-1"][0]
     assert version == 1 and len(large) == 4096  # stored while values could be larger: never rewritten
-    assert set(replica.leftovers("run-1")) >= {f"{store.DONE}run-1/0", f"{store.FINE}run-1/4"}
+    assert set(replica.leftover_keys("run-1")) >= {f"{store.DONE}run-1/0", f"{store.DONE_FINE}run-1/4"}
 
 
 def test_an_older_change_never_undoes_a_newer_one() -> None:
@@ -298,4 +298,4 @@
     assert waits[0] == 0.0 and 0.9 < waits[-1] < 1.2
     assert budget.wait_for(1.0, urgent=True) == 0.0
     params = settings_of(0).params.workers
-    assert hold_seconds(params.cancel_s, params.lease_s) + params.lease_s < params.cancel_s - 0.9
+    assert lease_extension_seconds(params.cancel_s, params.lease_s) + params.lease_s < params.cancel_s - 0.9
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from pepperlatch.constants import core as c
-from pepperlatch.controller.owner import Owner
+from pepperlatch.controller.command_loop import CommandLoop
 from pepperlatch.controller.store import Replica
 from pepperlatch.controller.users import UserApi
 from pepperlatch.policy import fleet, placement, supply
@@ -330,7 +330,7 @@
         old = world.leader()
         bridge = (old + 1) % 3
         next_leader = (old + 2) % 3
-        world.nodes[bridge].leadership.yield_until = 1e9
+        world.nodes[bridge].leadership.no_election_until = 1e9
         far = world.workers[0].name
         world.cut(NODES[next_leader], far, "refuse")
         world.workers[0].node = bridge
@@ -385,11 +385,11 @@
 
 def test_what_cannot_be_taken_in_time_is_answered_at_once() -> None:
     async def main() -> None:
-        class Watched:
+        class StateWatcher:
             replica = Replica()
 
         state = SlowState()
-        users = UserApi(settings_of(0), Watched(), state, lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
+        users = UserApi(settings_of(0), StateWatcher(), state, lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
         users.types = [machine("m").type]
         async with trio.open_nursery() as nursery:
             for number in range(state.share):
@@ -399,11 +399,11 @@
                 answer = await users.submit(wire_body(900))
             assert answer.status == 503 and "Retry-After" in answer.headers
             nursery.cancel_scope.cancel()
-        owner = Owner(lambda: None, 0.1)
+        command_loop = CommandLoop(lambda: None, 0.1)
         for _ in range(c.QUEUE_MOST):
-            assert not owner.full()
-            owner.post(lambda: None)
-        assert owner.full()
+            assert not command_loop.is_full()
+            command_loop.enqueue(lambda: None)
+        assert command_loop.is_full()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -428,10 +428,10 @@
 
 def test_one_slow_transaction_holds_up_no_other_submission() -> None:
     async def main() -> None:
-        class Watched:
+        class StateWatcher:
             replica = Replica()
 
-        users = UserApi(settings_of(0), Watched(), SlowState(), lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
+        users = UserApi(settings_of(0), StateWatcher(), SlowState(), lambda: 0.0, lambda job_id: None)  # type: ignore[arg-type]
         users.types = [machine("m").type]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(users.create_loop)
