--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -72,7 +72,8 @@
 
     def __init__(
         self, settings: Settings, term: Term, replica: Replica, state: StateClient, cloud: CloudClient,
-        workers: WorkerClient, command_loop: CommandLoop, clock: Clock, wall: Clock, peers: PeerProxy, images: ImageMemory,
+        workers: WorkerClient, command_loop: CommandLoop, clock: Clock, wall: Clock, peers: PeerProxy,
+        images: ImageMemory,
     ) -> None:  # fmt: skip
         self.settings = settings
         self.term = term
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -52,7 +52,7 @@
 class Cluster:
     """The state that one leader keeps during its term; created at takeover and discarded with the term.
 
-    `node` is the leader's name and `token` its fencing token. `hold_s`: seconds for which a controller may renew leases
+    `node` is the leader's name and `token` its fencing token. `lease_extension_s`: seconds for which a controller may renew leases
     after its last proof of leadership, or after its last contact with the leader. `spec_of` finds the spec of a job
     that has ended but whose tasks may still be reported. `cancelled_since` returns the earliest time at which a user
     may have been told that a job is cancelled; infinite if it is not.
@@ -722,7 +722,10 @@
         machine.heartbeat_at = min(machine.heartbeat_at, heard_at)
 
     def answered_peer(self, peer: str, now: float) -> None:
-        """This leader answers a peer's contact: from now on the peer may stand in, until `lease_extension_s` s after it asked."""
+        """This leader answers a peer's contact.
+
+        From now on the peer may stand in, until `lease_extension_s` s after it asked.
+        """
         self.stand_ins.setdefault(peer, StandIn()).answered_at = now
 
     def on_promise(self, peer: str, stood_in: dict[str, float], until: float, now: float) -> None:
