--- a/pepperlatch/command/service.py
+++ b/pepperlatch/command/service.py
@@ -61,7 +61,7 @@
         """A final answer, or how long to wait and why there is none."""
         seconds = min(c.USER_REQUEST_TIMEOUT_S, max(0.1, until - trio.current_time()))
         try:
-            status, retry_after, answer = await self.network.ask(node, method, path, body, seconds)
+            status, retry_after, answer = await self.network.request_with_retry_after(node, method, path, body, seconds)
         except NotSent:
             return None, c.MIN_USER_RETRY_PAUSE_S, f"{node} cannot be reached"
         except NoUsableResponse:
--- a/pepperlatch/console/saving.py
+++ b/pepperlatch/console/saving.py
@@ -104,7 +104,7 @@
 
     async def _write(self, key: str, piece: Piece) -> bool:
         """Only while this leader leads, and only when nobody waits for the budget."""
-        while self._core.state.writes_spare() < 1:
+        while self._core.state.spare_writes() < 1:
             await trio.sleep(c.SAVE_BUDGET_POLL_S)
             if self._leader.term.over:
                 return False
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -24,9 +24,9 @@
 from pepperlatch.controller.parts import Core
 from pepperlatch.policy.reasons import changes_when
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.budget import Budget
 from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Request, Response, compressed
+from pepperlatch.protocol.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
     from pepperlatch.controller.leader import Leader
@@ -55,7 +55,7 @@
     def __init__(self, core: Core, spent: Callable[[], float]) -> None:
         self._core = core
         self._spent = spent
-        self._budget = Budget(
+        self._budget = TokenBucket(
             c.LEADER_SHARE * core.settings.params.limits.cpu_share, c.LEADER_BURST_S, float("inf"), core.clock()
         )  # fmt: skip
         self._model: Model | None = None
@@ -123,7 +123,7 @@
         try:
             yield
         finally:
-            self._budget.wait_for(now, self._spent() - began)
+            self._budget.take(now, self._spent() - began)
 
     def _sent(self, kept: "_Kept", gzip: bool) -> Response:
         """Encoded once for all who ask alike."""
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -151,11 +151,11 @@
         return Response(200 if good and self.replica.loaded else 503, {"healthy": good})
 
     def _state_good(self) -> bool:
-        return self.state.reachable() or self._clock() - self.state.bad_since < c.STATE_FAILING_S
+        return self.state.reachable() or self._clock() - self.state.failing_since < c.STATE_FAILING_S
 
     async def _state_answers(self) -> bool:
         """For another node that gets no answers: what we got a while ago may have been before the outage."""
-        return self._clock() - self.state.good_at < c.STATE_FRESH_S or await self.state.answers()
+        return self._clock() - self.state.last_success_at < c.STATE_FRESH_S or await self.state.responds()
 
     def _peer(self, node: str) -> Peer | None:
         return next((p for p in self.settings.peers if p.node == node), None)
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -172,7 +172,7 @@
 
     def _state_here(self) -> bool:
         """Cut off from everything we would not know who leads; then there is no point in sending workers there."""
-        return self._clock() - self._state.good_at <= c.STATE_UNAVAILABLE_S
+        return self._clock() - self._state.last_success_at <= c.STATE_UNAVAILABLE_S
 
     def _knows_over(self, job_id: str) -> bool:
         entry = self._replica.jobs.get(job_id)
--- a/pepperlatch/controller/leadership.py
+++ b/pepperlatch/controller/leadership.py
@@ -95,13 +95,13 @@
                 await trio.sleep(c.STATE_RETRY_S / 2)
                 continue
             self.term = term
-            self._state.share(True)
+            self._state.set_role(True)
             log.info("leading with token %d", term.token)
             on_term(term)
             await self._keep(term)
             term.over = True
             self.term = None
-            self._state.share(False)
+            self._state.set_role(False)
             log.info("no longer leading with token %d", term.token)
             on_term(None)
 
@@ -115,7 +115,7 @@
         if self._replica.leader is not None:
             return None
         sent = self._clock()  # the lease runs from its grant, whose answer may have taken long
-        lease = await self._state.grant(c.LEADER_LEASE_MS)
+        lease = await self._state.grant_lease(c.LEADER_LEASE_MS)
         write: dict[str, Any] = wire.put(store.LEADER, {"node": self._node}, lease)
         try:
             outcome = await self._state.txn([wire.when(store.LEADER, 0)], [write], urgent=True)
@@ -123,7 +123,7 @@
             await self._give_back(lease)
             raise
         if not outcome.applied:
-            await self._state.revoke(lease)
+            await self._state.revoke_lease(lease)
             return None
         return Term(outcome.revision, lease, sent, self.hold_s, replica)
 
@@ -139,7 +139,7 @@
 
     async def _give_back(self, lease: int) -> None:
         try:
-            await self._state.revoke(lease)
+            await self._state.revoke_lease(lease)
         except (NotExecuted, OutcomeUnknown):
             log.info("lease %d could not be given back; it will end by itself", lease)
 
@@ -158,7 +158,7 @@
     async def _touch(self, term: Term) -> None:
         sent = self._clock()
         try:
-            await self._state.touch(term.lease, c.LEADER_LEASE_MS / 1000)
+            await self._state.renew_lease(term.lease, c.LEADER_LEASE_MS / 1000)
             if sent - term.checked_at > c.LEADER_LEASE_MS / 1000:
                 term.answered_since = sent
             term.checked_at = max(term.checked_at, sent)
--- a/pepperlatch/controller/writer.py
+++ b/pepperlatch/controller/writer.py
@@ -46,7 +46,7 @@
         self._wake = trio.Event()
 
     def later_most(self) -> int:
-        return min(self._most, self._state.later_most())
+        return min(self._most, self._state.max_background_changes())
 
     def add(self, write: Write, later: bool = False) -> None:
         """`later`: nobody waits for it; it is written when the budget has more than others may need."""
@@ -91,7 +91,7 @@
         """Whole writes while they fit into one transaction (at least one)."""
         batch: list[Write] = []
         changes = conditions = size = 0
-        spare = self._state.writes_spare()
+        spare = self._state.spare_writes()
         while self._queue or self._later:
             source = self._queue or self._later
             write = source[0]
--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -347,7 +347,7 @@
         while True:
             async with self._turn:
                 # What is missing is looked at last: another node may have brought the run on while this one waited.
-                await self.room(self._state.later_most())
+                await self.room(self._state.max_background_changes())
                 present |= {spec.id for spec in held.specs.values() if spec.id in self._core.watched.replica.jobs}
                 missing = [spec for spec in held.specs.values() if spec.id not in present]
                 if not missing:
@@ -364,7 +364,7 @@
 
     async def _send_some(self, held: Held, missing: list[wire.JobSpec]) -> Outcome | None:
         """The next batch; None if the run was refused instead, by the check of POST /work or by the state service."""
-        most = self._state.later_most()
+        most = self._state.max_background_changes()
         change = runs.create(held.address, held.version, missing, held.run.at, self._limits, most)
         wrong = next(((spec, why) for spec in missing[: len(change.ids)] if (why := self._wrong(spec))), None)
         reason = f"{wrong[0].id}: {wrong[1][1]}" if wrong is not None else ""
@@ -391,8 +391,8 @@
 
     async def room(self, changes: int) -> None:
         """Wait until the budget has more than those may need who submit single jobs."""
-        wanted = min(changes, self._state.later_most())
-        while self._state.writes_spare() < wanted:
+        wanted = min(changes, self._state.max_background_changes())
+        while self._state.spare_writes() < wanted:
             await trio.sleep(c.BUDGET_POLL_S)
 
     async def commit(self, change: Change) -> Outcome:
--- a/pepperlatch/protocol/cloud.py
+++ b/pepperlatch/protocol/cloud.py
@@ -8,8 +8,8 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.budget import Budget
 from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
+from pepperlatch.protocol.token_bucket import TokenBucket
 from pepperlatch.settings import Cloud
 
 
@@ -26,10 +26,10 @@
         self._network = network
         self._addr = addr
         self._clock = clock
-        self._budget = Budget(limits.rps * c.CLOUD_RATE_SHARE, c.CLOUD_BURST_S)
+        self._budget = TokenBucket(limits.rps * c.CLOUD_RATE_SHARE, c.CLOUD_BURST_S)
 
     async def _call(self, method: str, path: str, body: Any = None) -> Any:
-        wait = self._budget.wait_for(self._clock())
+        wait = self._budget.take(self._clock())
         if wait > 0:
             await trio.sleep(wait)
         try:
--- a/pepperlatch/protocol/http/client.py
+++ b/pepperlatch/protocol/http/client.py
@@ -53,13 +53,13 @@
 class HttpNetwork:
     """Requests over TCP; connections are kept and used again while they are young.
 
-    At most `most` at once: one that nobody uses makes room for a new one, or a few hundred partners that were asked
-    lately would keep all others from being asked.
+    At most `max_connections` at once: one that nobody uses makes room for a new one, or a few hundred partners that
+    were asked lately would keep all others from being asked.
     """
 
-    most: int
+    max_connections: int
     gzip: bool = False  # ask for compressed answers
-    received: int = 0  # bytes of bodies, as they came
+    received_bytes: int = 0  # bytes of bodies, as they came
     _idle: dict[str, list[_Link]] = field(default_factory=dict)
     _resting: dict[_Link, None] = field(default_factory=dict)  # all that are idle, the longest first
     _open: int = 0
@@ -68,10 +68,10 @@
         self, addr: str, method: str, path: str, body: Any = None, deadline_s: float = 2.0
     ) -> tuple[int, Any]:
         """Status and decoded body. Raises NotSent or NoUsableResponse. Cancelled, it closes the connection it used."""
-        status, _, answer = await self.ask(addr, method, path, body, deadline_s)
+        status, _, answer = await self.request_with_retry_after(addr, method, path, body, deadline_s)
         return status, answer
 
-    async def ask(
+    async def request_with_retry_after(
         self, addr: str, method: str, path: str, body: Any = None, deadline_s: float = 2.0
     ) -> tuple[int, str, Any]:
         """As `request`, with what the answer says in Retry-After between the two ("" if nothing)."""
@@ -105,9 +105,9 @@
             if trio.current_time() - link.idle_since < c.POOL_IDLE_S and not link.stream.socket.is_readable():
                 return link
             self._close(link)
-        if self._open >= self.most and self._resting:
+        if self._open >= self.max_connections and self._resting:
             self._drop(next(iter(self._resting)))
-        if self._open >= self.most:
+        if self._open >= self.max_connections:
             raise NotSent("too many connections")
         host, port = split_address(addr)
         sock = trio.socket.socket()
@@ -145,7 +145,7 @@
             elif isinstance(event, h11.Data):
                 answer += event.data
             elif isinstance(event, h11.EndOfMessage):
-                self.received += len(answer)
+                self.received_bytes += len(answer)
                 return status, retry_after, _unpacked(bytes(answer)) if packed else bytes(answer)
             elif isinstance(event, h11.ConnectionClosed):
                 raise h11.RemoteProtocolError("closed before the answer")
--- a/pepperlatch/protocol/http/server.py
+++ b/pepperlatch/protocol/http/server.py
@@ -42,22 +42,24 @@
 
 
 class Server:
-    """Serves one listener; holds at most `most` connections and refuses the rest.
+    """Serves one listener; holds at most `max_connections` connections and refuses the rest.
 
-    Before it comes to that, connections end with their next answer, but for those of whom `keeps` is true.
+    Before it comes to that, connections end with their next answer, but for those of whom `keeps_open` is true.
     """
 
-    def __init__(self, handler: Handler, most: int, keeps: Callable[[Request], bool] = lambda request: True) -> None:
+    def __init__(
+        self, handler: Handler, max_connections: int, keeps_open: Callable[[Request], bool] = lambda request: True
+    ) -> None:
         self._handler = handler
-        self._most = most
-        self._keeps = keeps
+        self._max_connections = max_connections
+        self._keeps_open = keeps_open
         self._open = 0
 
     async def serve(self, host: str, port: int, *, task_status: Any = trio.TASK_STATUS_IGNORED) -> None:
         await trio.serve_tcp(self._connection, port, host=host, backlog=256, task_status=task_status)
 
     async def _connection(self, stream: trio.abc.Stream) -> None:
-        if self._open >= self._most:
+        if self._open >= self._max_connections:
             await stream.aclose()
             return
         self._open += 1
@@ -84,7 +86,7 @@
                 return
             if request is None:
                 return
-            crowded = self._open > c.HIGH_CONNECTION_SHARE * self._most and not self._keeps(request)
+            crowded = self._open > c.HIGH_CONNECTION_SHARE * self._max_connections and not self._keeps_open(request)
             await self._write(conn, stream, await self._answer(request), close=crowded)
             if conn.our_state is not h11.DONE or conn.their_state is not h11.DONE:
                 return
--- a/pepperlatch/protocol/state.py
+++ b/pepperlatch/protocol/state.py
@@ -9,8 +9,8 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.budget import Budget, Elastic
 from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
+from pepperlatch.protocol.token_bucket import SharedTokenBucket, TokenBucket
 from pepperlatch.settings import State
 
 
@@ -53,14 +53,14 @@
         self._limits = limits
         self._nodes = nodes
         self._clock = clock
-        self._requests = Budget(limits.rps)
-        self._writes = Elastic(limits.write_rps, recover_s=c.WRITE_RATE_RECOVERY_S)
-        self.share(False)
-        self.good_at = clock()
-        self.bad_at = -1.0
-        self.bad_since = -1.0  # when the answers stopped, if they have
-
-    def share(self, leads: bool) -> None:
+        self._requests = TokenBucket(limits.rps)
+        self._writes = SharedTokenBucket(limits.write_rps, recovery_s=c.WRITE_RATE_RECOVERY_S)
+        self.set_role(False)
+        self.last_success_at = clock()
+        self.last_failure_at = -1.0
+        self.failing_since = -1.0  # when the answers stopped, if they have
+
+    def set_role(self, leads: bool) -> None:
         """The budgets are for all nodes together: one part for the leader, one for the others.
 
         Requests keep to fixed parts: every node watches and reads all the time. Writes of the others are few and come
@@ -70,37 +70,37 @@
         self._requests.rate = self._limits.rps * share
         rate = self._limits.write_rps
         if leads:
-            self._writes.share(rate * c.WRITE_SHARE_LEADER, rate * c.WRITE_SHARE_LEADER)
+            self._writes.set_limits(rate * c.WRITE_SHARE_LEADER, rate * c.WRITE_SHARE_LEADER)
         else:
-            self._writes.share(rate * c.WRITE_SHARE_OTHERS / max(1, self._nodes - 1), rate * c.WRITE_SHARE_OTHERS)
+            self._writes.set_limits(rate * c.WRITE_SHARE_OTHERS / max(1, self._nodes - 1), rate * c.WRITE_SHARE_OTHERS)
 
     def writes_within(self, seconds: float) -> int:
         """How many puts this node's share allows within that time."""
         return max(1, int(self._writes.rate * (seconds + self._writes.burst_s)))
 
-    def writes_spare(self) -> int:
+    def spare_writes(self) -> int:
         """How many puts may be made now that nobody waits for, with the rest kept for those that somebody does."""
         writes = self._writes
         saved = writes.available(self._clock())
         full = saved >= writes.rate * writes.burst_s
         return max(int(full), int(saved - c.BACKGROUND_WRITE_RESERVE_SHARE * writes.rate * writes.burst_s))
 
-    def later_most(self) -> int:
+    def max_background_changes(self) -> int:
         """How many changes a write that nobody waits for may have, to find its turn at all."""
-        return max(1, int((1 - c.BACKGROUND_WRITE_RESERVE_SHARE) * self._writes.least * self._writes.burst_s))
+        return max(1, int((1 - c.BACKGROUND_WRITE_RESERVE_SHARE) * self._writes.min_rate * self._writes.burst_s))
 
     def reachable(self) -> bool:
-        return self.good_at >= self.bad_at
+        return self.last_success_at >= self.last_failure_at
 
     def _bad(self) -> None:
         if self.reachable():
-            self.bad_since = self._clock()
-        self.bad_at = self._clock()
+            self.failing_since = self._clock()
+        self.last_failure_at = self._clock()
 
     async def _call(
         self, method: str, path: str, body: Any = None, seconds: float = c.STATE_REQUEST_TIMEOUT_S, urgent: bool = False
     ) -> tuple[int, Any]:
-        wait = self._requests.wait_for(self._clock(), 1.0, urgent)
+        wait = self._requests.take(self._clock(), 1.0, urgent)
         if wait > 0:
             await trio.sleep(wait)
         try:
@@ -116,10 +116,10 @@
         if status == 503:
             self._bad()
             raise NotExecuted(f"{path}: {status}")
-        self.good_at = self._clock()
+        self.last_success_at = self._clock()
         return status, answer
 
-    async def answers(self) -> bool:
+    async def responds(self) -> bool:
         """Whether the service answers this node right now."""
         try:
             await self._call("GET", f"{wire.KEYS}/ping", None, c.STATE_FRESH_S, urgent=True)
@@ -133,16 +133,16 @@
         return None if status == 404 else _checked(answer, wire.KeyValue)
 
     async def read_all(
-        self, prefix: str, keep: Callable[[wire.KeyValue], wire.KeyValue] = lambda pair: pair
+        self, prefix: str, transform: Callable[[wire.KeyValue], wire.KeyValue] = lambda pair: pair
     ) -> tuple[int, list[wire.KeyValue]]:
-        """All pairs below a prefix, with the revision of the first page; each as `keep` makes it."""
+        """All pairs below a prefix, with the revision of the first page; each as `transform` makes it."""
         pairs: list[wire.KeyValue] = []
         revision, after = -1, ""
         while True:
             _, answer = await self._call("GET", wire.keys_path(prefix, after, c.LIST_PAGE))
             page = _checked(answer, wire.KeyPage)
             revision = page.revision if revision < 0 else revision
-            pairs += map(keep, page.items)
+            pairs += map(transform, page.items)
             if not page.more or not page.items:
                 return revision, pairs
             after = page.items[-1].key
@@ -176,26 +176,26 @@
         """Tried again while the service is busy, as long as an answer may take; cancelled, it may be carried out."""
         until = self._clock() + c.STATE_REQUEST_TIMEOUT_S
         while True:
-            wait = self._writes.wait_for(self._clock(), count, urgent)
+            wait = self._writes.take(self._clock(), count, urgent)
             if wait > 0:
                 await trio.sleep(wait)
             try:
                 return await self._call("POST", wire.TXN, body, seconds, urgent=True)
             except RateLimited:
-                self._writes.refused(self._clock())
+                self._writes.on_refused(self._clock())
                 if urgent or self._clock() + count / self._writes.rate > until:
                     raise
 
-    async def grant(self, ttl_ms: int) -> int:
+    async def grant_lease(self, ttl_ms: int) -> int:
         _, answer = await self._call("POST", wire.LEASES, wire.lease_body(ttl_ms), urgent=True)
         return wire.lease_of(answer)
 
-    async def touch(self, lease: int, seconds: float) -> None:
+    async def renew_lease(self, lease: int, seconds: float) -> None:
         status, _ = await self._call("POST", f"{wire.LEASES}/{lease}/{wire.TOUCH}", {}, seconds, urgent=True)
         if status == 404:
             raise LeaseGone
 
-    async def revoke(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         await self._call("DELETE", f"{wire.LEASES}/{lease}", urgent=True)
 
 
--- a/pepperlatch/scale/limits.py
+++ b/pepperlatch/scale/limits.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from pepperlatch.protocol.budget import Budget
+from pepperlatch.protocol.token_bucket import TokenBucket
 
 
 @dataclass(slots=True)
@@ -11,13 +11,13 @@
 
     rate: float
     burst_s: float = 1.0
-    _budget: Budget | None = None
+    _budget: TokenBucket | None = None
 
     def take(self, now: float, amount: float = 1.0) -> bool:
         """Whether `amount` is within the limit; it is taken if so."""
         if self._budget is None:
-            self._budget = Budget(self.rate, self.burst_s, self.rate * self.burst_s, now)
+            self._budget = TokenBucket(self.rate, self.burst_s, self.rate * self.burst_s, now)
         if self._budget.available(now) < amount:
             return False
-        self._budget.wait_for(now, amount)
+        self._budget.take(now, amount)
         return True
--- a/pepperlatch/scale/users.py
+++ b/pepperlatch/scale/users.py
@@ -118,7 +118,7 @@
         node = self._users.balancer.take()
         network = HttpNetwork(1)
         try:
-            status, retry_after, answer = await network.ask(
+            status, retry_after, answer = await network.request_with_retry_after(
                 self._users.balancer.address(node), method, path, body, seconds
             )
             state = answer.get("status") if isinstance(answer, dict) and status in (200, 201) else None
--- a/tests/acceptance/test_back_at_once.py
+++ b/tests/acceptance/test_back_at_once.py
@@ -194,12 +194,13 @@
         await world.bounce(index, 0.0)
         reports = world.nodes[index].heartbeats
         await world.until(lambda: reports.contact.token > 0, 5)
-        reports._state.good_at = reports._barred_until = float("-inf")  # no state service, and no word from the leader
+        # no state service, and no word from the leader
+        reports._state.last_success_at = reports._barred_until = float("-inf")
         reports._replica.current_at = trio.current_time()
         shown = report(1, 1, token=reports.contact.token)
         assert not reports._may_stand_in(shown)
         await trio.sleep(c.DELEGATED_RENEWAL_BAR_S)
-        reports._barred_until = reports._state.good_at = float("-inf")
+        reports._barred_until = reports._state.last_success_at = float("-inf")
         assert reports._may_stand_in(shown)
 
     story(tell)
--- a/tests/command/test_cli.py
+++ b/tests/command/test_cli.py
@@ -28,7 +28,9 @@
         self.answer = answer
         self.asked: list[tuple[str, str, str, Any]] = []
 
-    async def ask(self, addr: str, method: str, path: str, body: Any = None, deadline_s: float = 0.0) -> Answer:
+    async def request_with_retry_after(
+        self, addr: str, method: str, path: str, body: Any = None, deadline_s: float = 0.0
+    ) -> Answer:
         self.asked.append((addr, method, path, body))
         return self.answer(addr, method, path, body)
 
--- a/tests/console/measure.py
+++ b/tests/console/measure.py
@@ -55,7 +55,9 @@
     async def ask(method: str, path: str) -> tuple[int, Any]:
         for _ in range(tries):
             try:
-                status, after, answer = await network.ask(f"{HOST}:{PORT}", method, path, None, 5.0)
+                status, after, answer = await network.request_with_retry_after(
+                    f"{HOST}:{PORT}", method, path, None, 5.0
+                )
             except (NotSent, NoUsableResponse) as error:
                 raise Silent(str(error)) from None
             if status != 503:
@@ -129,16 +131,19 @@
     network, mirror = viewer(30)
     at = trio.current_time()
     await mirror.complete()
-    print(f"snapshot: {len(mirror.rows)} jobs, {network.received / 1000:.0f} KB sent, {trio.current_time() - at:.1f} s")
+    print(
+        f"snapshot: {len(mirror.rows)} jobs, {network.received_bytes / 1000:.0f} KB sent,"
+        f" {trio.current_time() - at:.1f} s"
+    )
 
 
 async def console() -> None:
     network, mirror = viewer()
     await mirror.load()
-    received = network.received
+    received = network.received_bytes
     feed = Feed(mirror, Wants(mirror.query), lambda shown: None)
     behind, stale, tries = await looked(feed, LOOK_S)
-    print(f"one console for {LOOK_S:.0f} s: {(network.received - received) / LOOK_S:.0f} bytes/s,", end=" ")
+    print(f"one console for {LOOK_S:.0f} s: {(network.received_bytes - received) / LOOK_S:.0f} bytes/s,", end=" ")
     print(f"behind in {behind} and stale in {stale} of {tries} looks")
 
 
--- a/tests/gangs/test_narrow_state.py
+++ b/tests/gangs/test_narrow_state.py
@@ -3,21 +3,21 @@
 import trio
 
 from pepperlatch.constants import core as c
-from pepperlatch.protocol.budget import Elastic
+from pepperlatch.protocol.token_bucket import SharedTokenBucket
 from tests.fakes import LAB, World, job, story
 
 CARD = {"cores": 10.0, "gpus": 1.0, "memory_gb": 30.0}
 
 
 def test_a_part_of_a_rate_grows_while_others_are_quiet_and_falls_when_refused() -> None:
-    part = Elastic(4.0, recover_s=10.0)
-    part.share(1.0, 4.0)
-    assert sum(part.wait_for(10.0) == 0 for _ in range(6)) == 4, "all of it at once while nobody else is heard"
-    part.refused(10.0)
-    assert part.wait_for(10.0) == 0.5, "half of it"
-    part.refused(10.0)
-    part.refused(10.0)
-    assert part.wait_for(10.0) == 1.0, "what is surely its own"
+    part = SharedTokenBucket(4.0, recovery_s=10.0)
+    part.set_limits(1.0, 4.0)
+    assert sum(part.take(10.0) == 0 for _ in range(6)) == 4, "all of it at once while nobody else is heard"
+    part.on_refused(10.0)
+    assert part.take(10.0) == 0.5, "half of it"
+    part.on_refused(10.0)
+    part.on_refused(10.0)
+    assert part.take(10.0) == 1.0, "what is surely its own"
     assert part.available(25.0) == 4.0, "all of it again"
 
 
--- a/tests/meetings/test_other_meetings.py
+++ b/tests/meetings/test_other_meetings.py
@@ -12,9 +12,9 @@
 from pepperlatch.controller.writer import Write, Writer
 from pepperlatch.policy.model import Phase
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.budget import Budget
 from pepperlatch.protocol.http.client import NoUsableResponse
 from pepperlatch.protocol.state import StateClient
+from pepperlatch.protocol.token_bucket import TokenBucket
 from tests.cuts.test_sessions import BLIND_S, TOKEN, cluster_of, report
 from tests.fakes import CANCEL_S, LEASE_S, NODES, STATE, World, job, settings_of, story
 from tests.test_edges import machine, spec_of
@@ -126,7 +126,7 @@
         link = Lagging(world.state)
         state = StateClient(link, STATE, settings_of(0).params.state, 3, trio.current_time)
         state._writes.rate = state._requests.rate = 1e6
-        assert isinstance(state._requests, Budget)
+        assert isinstance(state._requests, TokenBucket)
         writer = Writer(state, Term(token, 1, 0.0, 1e9, Replica()), 16)
         world.nursery.start_soon(writer.run)
         outcomes: list[bool] = []
--- a/tests/pipelines/test_runs.py
+++ b/tests/pipelines/test_runs.py
@@ -274,7 +274,7 @@
 def test_a_run_that_finds_no_room_is_told_to_come_back_in_time() -> None:
     async def tell(world: World) -> None:
         node = world.nodes[0]
-        node.state.writes_spare = lambda: 0  # type: ignore[method-assign]
+        node.state.spare_writes = lambda: 0  # type: ignore[method-assign]
         at = trio.current_time()
         assert (await put(world, chain(2), 0))[0] == 503 and trio.current_time() - at < 4.5
         assert not [key for key in world.state.keys if key.startswith("p/")]
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -16,8 +16,8 @@
 from pepperlatch.policy.model import Attempt, Job, Machine, Phase, Status
 from pepperlatch.policy.supply import Place, Spare, absorb, slack_s
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.budget import Budget
 from pepperlatch.protocol.http.server import Request, Response, Server
+from pepperlatch.protocol.token_bucket import TokenBucket
 from pepperlatch.settings import Objective, SettingsError, Team, parse
 from tests.fakes import World, job, settings_of, story
 
@@ -289,10 +289,10 @@
 
 
 def test_budgets_and_bounds() -> None:
-    budget = Budget(10.0)
-    assert budget.wait_for(1.0) == 0.0
-    waits = [budget.wait_for(1.0) for _ in range(20)]
+    budget = TokenBucket(10.0)
+    assert budget.take(1.0) == 0.0
+    waits = [budget.take(1.0) for _ in range(20)]
     assert waits[0] == 0.0 and 0.9 < waits[-1] < 1.2
-    assert budget.wait_for(1.0, urgent=True) == 0.0
+    assert budget.take(1.0, urgent=True) == 0.0
     params = settings_of(0).params.workers
     assert hold_seconds(params.cancel_s, params.lease_s) + params.lease_s < params.cancel_s - 0.9
