--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -179,7 +179,7 @@
         told_after = self.replica.told_after(cancelled)
         if told_after is not None:
             return told_after
-        off_s = 2 * self.settings.params.clock_off_ms / 1000  # the writer's clock and ours
+        off_s = 2 * self.settings.params.max_clock_error_ms / 1000  # the writer's clock and ours
         ago_s = self.wall() - self.replica.jobs[cancelled].record.ended + off_s
         unknown_s = return_after_s(self.settings.params.workers)
         return self.clock() - (ago_s if self._stamped(cancelled) and ago_s >= 0 else unknown_s)
--- a/pepperlatch/controller/leaderless.py
+++ b/pepperlatch/controller/leaderless.py
@@ -19,7 +19,7 @@
 from pepperlatch.protocol.cloud import CloudClient, CloudError
 from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
 from pepperlatch.protocol.workers import WorkerClient
-from pepperlatch.settings import Workers
+from pepperlatch.settings import WorkerTimings
 
 log = logging.getLogger(__name__)
 
@@ -37,7 +37,7 @@
     """Asks the machines that the leader named last, and returns those that nobody reaches."""
 
     def __init__(
-        self, times: Workers, clock: Callable[[], float], replica: Replica, leads: Callable[[], bool],
+        self, times: WorkerTimings, clock: Callable[[], float], replica: Replica, leads: Callable[[], bool],
         workers: WorkerClient, peers: Peers, cloud: CloudClient,
     ) -> None:  # fmt: skip
         self._times = times
--- a/pepperlatch/logs.py
+++ b/pepperlatch/logs.py
@@ -22,17 +22,17 @@
 
 
 @dataclass(slots=True)
-class Context:
+class LogContext:
     """What every line of a process says; `token` of the term that it leads, if it does."""
 
     node: str
     token: Callable[[], int | None] = lambda: None
 
 
-class Json(logging.Formatter):
+class JsonFormatter(logging.Formatter):
     """`{"at": ..., "level": ..., "node": ..., "token": ..., "logger": ..., "event": ..., "job": ...}`"""
 
-    def __init__(self, context: Context) -> None:
+    def __init__(self, context: LogContext) -> None:
         super().__init__()
         self._context = context
 
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class Flood:
+class FloodFilter:
     """Lets through a burst of each kind of event, then so many a second; says how many were left out.
 
     A kind is a place in the code: its logger and its text before the values. Errors always pass.
@@ -88,15 +88,15 @@
         return True
 
 
-def configure(node: str, environ: Mapping[str, str], stream: TextIO = sys.stderr) -> Context:
+def configure(node: str, environ: Mapping[str, str], stream: TextIO = sys.stderr) -> LogContext:
     """Set up the logging of this process; what is not known in the variables means `error` and `text`."""
-    context = Context(node)
+    context = LogContext(node)
     handler = logging.StreamHandler(stream)
     if environ.get("LOG_FORMAT", "text").lower() == "json":
-        handler.setFormatter(Json(context))
+        handler.setFormatter(JsonFormatter(context))
     else:
         handler.setFormatter(logging.Formatter(f"%(levelname).1s {node} %(message)s"))
-    handler.addFilter(Flood().filter)
+    handler.addFilter(FloodFilter().filter)
     level = LEVELS.get(environ.get("LOG_LEVEL", "error").lower(), logging.ERROR)
     logging.basicConfig(level=level, handlers=[handler], force=True)
     return context
--- a/pepperlatch/pipelines/runs.py
+++ b/pepperlatch/pipelines/runs.py
@@ -20,7 +20,7 @@
 from pepperlatch.controller import store
 from pepperlatch.pipelines.keys import OPEN, PIECE, RUN
 from pepperlatch.protocol import wire
-from pepperlatch.settings import State
+from pepperlatch.settings import StateLimits
 
 
 class Phase(str, Enum):
@@ -67,7 +67,7 @@
 
 
 def create(
-    address: str, version: int, missing: Collection[wire.JobSpec], at: float, limits: State, most: int
+    address: str, version: int, missing: Collection[wire.JobSpec], at: float, limits: StateLimits, most: int
 ) -> Change:
     """The next jobs of a run, at least one, at most so many changes; the rest stays for the next time."""
     when = [wire.version_condition(RUN + address, version)]
--- a/pepperlatch/policy/cancellations.py
+++ b/pepperlatch/policy/cancellations.py
@@ -13,7 +13,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.policy.model import Machine
-from pepperlatch.settings import Workers
+from pepperlatch.settings import WorkerTimings
 
 
 class CancelledOn(msgspec.Struct, array_like=True):
@@ -49,7 +49,7 @@
     kept_zones: set[str]
 
 
-def return_after_s(workers: Workers) -> float:
+def return_after_s(workers: WorkerTimings) -> float:
     """Seconds after a cancellation at which a silent machine that may hold a task of the job is asked to be returned.
 
     The leader may end at that very moment, and the answer to its successor's first request may be lost.
@@ -63,11 +63,11 @@
     return max(0.0, workers.cancel_s - takes_s)
 
 
-def _silence_s(workers: Workers) -> float:
+def _silence_s(workers: WorkerTimings) -> float:
     return c.SILENT_REPORTS * workers.report_s
 
 
-def decide(machine: Machine, since: float, seen: Seen, workers: Workers, now: float) -> Decision:
+def decide(machine: Machine, since: float, seen: Seen, workers: WorkerTimings, now: float) -> Decision:
     """`since`: when a job that may have a task on the machine was cancelled, infinite if there is none.
 
     A return carries no token and names are used once, so one sent by a leader that has been succeeded breaks no rule;
--- a/pepperlatch/protocol/cloud.py
+++ b/pepperlatch/protocol/cloud.py
@@ -10,7 +10,7 @@
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.token_bucket import TokenBucket
-from pepperlatch.settings import Cloud
+from pepperlatch.settings import CloudLimits
 
 
 class CloudError(Exception):
@@ -22,7 +22,7 @@
 
 
 class CloudClient:
-    def __init__(self, network: Network, addr: str, limits: Cloud, clock: Callable[[], float]) -> None:
+    def __init__(self, network: Network, addr: str, limits: CloudLimits, clock: Callable[[], float]) -> None:
         self._network = network
         self._addr = addr
         self._clock = clock
--- a/pepperlatch/protocol/state.py
+++ b/pepperlatch/protocol/state.py
@@ -11,7 +11,7 @@
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.token_bucket import SharedTokenBucket, TokenBucket
-from pepperlatch.settings import State
+from pepperlatch.settings import StateLimits
 
 
 class NotExecuted(Exception):
@@ -47,7 +47,9 @@
 
 
 class StateClient:
-    def __init__(self, network: Network, addr: str, limits: State, nodes: int, clock: Callable[[], float]) -> None:
+    def __init__(
+        self, network: Network, addr: str, limits: StateLimits, nodes: int, clock: Callable[[], float]
+    ) -> None:
         self._network = network
         self._addr = addr
         self._limits = limits
--- a/pepperlatch/protocol/wire.py
+++ b/pepperlatch/protocol/wire.py
@@ -188,7 +188,7 @@
 
 SETTINGS_NODE = {"node": "node_name", "listen": "bind", "peers": "members", "services": "outside"}
 SETTINGS_PEER = {"node": "node_name", "addr": "endpoint"}
-SETTINGS_PARAMS = {"limits": "machine_limits", "clock_off_ms": "clock_error_ms"}
+SETTINGS_PARAMS = {"limits": "machine_limits", "max_clock_error_ms": "clock_error_ms"}
 SETTINGS_LIMITS = {"cpu_share": "cpu", "memory_mb": "mem_mb", "max_connections": "sockets"}
 
 # --- paths ----------------------------------------------------------------------------------------
--- a/pepperlatch/settings.py
+++ b/pepperlatch/settings.py
@@ -18,7 +18,7 @@
     addr: str
 
 
-class Services(msgspec.Struct):
+class ServiceAddresses(msgspec.Struct):
     cloud: str
     state: str
 
@@ -38,7 +38,7 @@
     share: float | None = None
 
 
-class Workers(msgspec.Struct):
+class WorkerTimings(msgspec.Struct):
     report_s: float
     lease_s: float
     gang_wait_s: float
@@ -55,17 +55,17 @@
     txn_ops: int | None = None
 
 
-class State(msgspec.Struct):
+class StateLimits(msgspec.Struct):
     rps: float
     write_rps: float
     value_kb: float
     txn_ops: int
     next: StateNext | None = None
 
-    def lowest(self) -> "State":
+    def lowest(self) -> "StateLimits":
         """What holds before and after the change: kept to from the start, the change needs no noticing."""
         after = self.next or StateNext()
-        return State(
+        return StateLimits(
             min(self.rps, after.rps or self.rps),
             min(self.write_rps, after.write_rps or self.write_rps),
             min(self.value_kb, after.value_kb or self.value_kb),
@@ -73,12 +73,12 @@
         )
 
 
-class Cloud(msgspec.Struct):
+class CloudLimits(msgspec.Struct):
     rps: float
     list_lag_s: float
 
 
-class Limits(msgspec.Struct, rename=wire.SETTINGS_LIMITS):
+class NodeLimits(msgspec.Struct, rename=wire.SETTINGS_LIMITS):
     cpu_share: float
     memory_mb: float
     max_connections: int
@@ -88,11 +88,11 @@
     nodes: int
     zones: list[str]
     teams: list[Team]
-    workers: Workers
-    state: State
-    cloud: Cloud
-    limits: Limits
-    clock_off_ms: float = 1000.0
+    workers: WorkerTimings
+    state: StateLimits
+    cloud: CloudLimits
+    limits: NodeLimits
+    max_clock_error_ms: float = 1000.0
     objectives: list[Objective] = []
 
 
@@ -101,7 +101,7 @@
     zone: str
     listen: str
     peer_listen: str
-    services: Services
+    services: ServiceAddresses
     params: Params
     peers: list[Peer] = []
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -32,7 +32,7 @@
 
 def test_a_flood_is_cut_and_counted_and_other_lines_pass() -> None:
     now = 0.0
-    flood = logs.Flood(lambda: now)
+    flood = logs.FloodFilter(lambda: now)
     template = "place %s"
 
     def said(text: str = template, level: int = logging.INFO) -> logging.LogRecord | None:
