--- a/pepperlatch/constants/__init__.py
+++ b/pepperlatch/constants/__init__.py
@@ -1,1 +1,1 @@
-"""Every chosen number, with unit and reason; a module a subsystem."""
+"""Constants, with units and reasons; a module for each subsystem."""
