--- a/pepperlatch/logs.py
+++ b/pepperlatch/logs.py
@@ -1,8 +1,9 @@
-"""One event a line on standard error, as text for people or as JSON for programs, with a limit against floods.
+"""Logging: one event a line on standard error, as text for people or as JSON for programs, with a rate limit.
 
-The standard library's logging: the usual library for structured logs takes longer to import than all of a controller's
-start. `LOG_LEVEL` (error, info, debug) says how much, `LOG_FORMAT` (text, json) how. An event's own fields go into
-`extra`: `job`, `machine`, `task`; node and token are added here.
+It uses the standard library's logging, because the usual library for structured logs takes longer to import than a
+whole controller takes to start. The variable `LOG_LEVEL` (error, info, debug) sets the level, `LOG_FORMAT` (text, json)
+the format. Callers pass an event's own fields in `extra`: `job`, `machine`, `task`, `zone`; node and token are added
+here.
 """
 
 import logging
@@ -23,7 +24,7 @@
 
 @dataclass(slots=True)
 class LogContext:
-    """What every line of a process says; `token` of the term that it leads, if it does."""
+    """What every line of a process contains: its node, and the fencing token of its term while it leads."""
 
     node: str
     token: Callable[[], int | None] = lambda: None
@@ -54,42 +55,53 @@
 
 
 @dataclass(slots=True)
-class _Flow:
-    """One kind of event: what it may still say, and how much was left out."""
+class _EventRate:
+    """Rate limit of one kind of event: the lines it may still log, and how many were left out since the last one."""
 
-    saved: float
-    at: float
+    tokens: float
+    updated_at: float
     left_out: int = 0
 
 
 @dataclass(slots=True)
 class FloodFilter:
-    """Lets through a burst of each kind of event, then so many a second; says how many were left out.
+    """Passes LOG_BURST_LINES of each kind of event, then LOG_LINES_PER_S; the next line says how many were left out.
 
-    A kind is a place in the code: its logger and its text before the values. Errors always pass.
+    A kind is a place in the code: its logger and its text before the values. Errors always pass. `clock`: steady time
+    in seconds.
     """
 
     clock: Callable[[], float] = time.monotonic
-    _flows: dict[tuple[str, str], _Flow] = field(default_factory=dict)
+    _rates: dict[tuple[str, str], _EventRate] = field(default_factory=dict)
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Whether the record is logged; called by the logging handler."""
         if record.levelno >= logging.ERROR:
             return True
         now = self.clock()
-        flow = self._flows.setdefault((record.name, str(record.msg)), _Flow(c.LOG_BURST_LINES, now))
-        flow.saved, flow.at = min(c.LOG_BURST_LINES, flow.saved + (now - flow.at) * c.LOG_LINES_PER_S), now
-        if flow.saved < 1:
-            flow.left_out += 1
+        rate = self._rates.setdefault((record.name, str(record.msg)), _EventRate(c.LOG_BURST_LINES, now))
+        rate.tokens, rate.updated_at = (
+            min(c.LOG_BURST_LINES, rate.tokens + (now - rate.updated_at) * c.LOG_LINES_PER_S),
+            now,
+        )
+        if rate.tokens < 1:
+            rate.left_out += 1
             return False
-        flow.saved -= 1
-        if flow.left_out:
-            record.msg, record.args = f"{record.getMessage()} ({flow.left_out} alike left out before)", None
-            flow.left_out = 0
+        rate.tokens -= 1
+        if rate.left_out:
+            record.msg, record.args = (
+                f"{record.getMessage()} ({rate.left_out} similar lines left out before this one)",
+                None,
+            )
+            rate.left_out = 0
         return True
 
 
 def configure(node: str, environ: Mapping[str, str], stream: TextIO = sys.stderr) -> LogContext:
-    """Set up the logging of this process; what is not known in the variables means `error` and `text`."""
+    """Set up the logging of this process. Unknown values of the variables mean level `error` and format `text`.
+
+    The caller sets `token` of the returned context once it can tell the term that it leads.
+    """
     context = LogContext(node)
     handler = logging.StreamHandler(stream)
     if environ.get("LOG_FORMAT", "text").lower() == "json":
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -45,4 +45,4 @@
     assert said(level=logging.ERROR) is not None
     now = 1.0
     after = said()
-    assert after is not None and after.getMessage() == "place run-1/0 (500 alike left out before)"
+    assert after is not None and after.getMessage() == "place run-1/0 (500 similar lines left out before this one)"
