--- a/pepperlatch/features.py
+++ b/pepperlatch/features.py
@@ -1,4 +1,7 @@
-"""What is switched on: `deploy/features.toml`, one table a subsystem. A missing file means all is off."""
+"""Switches of the optional subsystems: `deploy/features.toml`, one table for each. Without the file all are off.
+
+Unknown fields are errors.
+"""
 
 import tomllib
 from pathlib import Path
@@ -8,20 +11,20 @@
 
 
 class FeaturesError(Exception):
-    """The file cannot be used; the text names the field."""
+    """The file cannot be used; the text names the field. The node does not start."""
 
 
 class Pipelines(msgspec.Struct, forbid_unknown_fields=True):
-    """`repeats`: classes of jobs that may be asked for again under the same key."""
+    """`repeats`: classes of jobs that may be run again under the same key."""
 
     on: bool = False
     repeats: list[str] = []
 
 
 class Public(msgspec.Struct, forbid_unknown_fields=True):
-    """For members. `listen`: address of a listener of its own, none if empty. `teams`: shown to all; empty: every team.
+    """The members' view. `listen`: address of its own listener, none if empty. `teams`: those shown, all if empty.
 
-    `names`: whether ids of jobs are shown, or words in their place that stand for the same job all along.
+    `names`: whether ids of jobs are shown; if not, each job has a pseudonym that stays the same.
     """
 
     listen: str = ""
@@ -30,9 +33,9 @@
 
 
 class Console(msgspec.Struct, forbid_unknown_fields=True):
-    """`metrics`: /metrics on the operators' listener; needs the group `metrics` of the optional libraries.
+    """`metrics`: serve /metrics on the operators' listener; needs the group `metrics` of the optional libraries.
 
-    `trace_share`: of the jobs, whose spans go into the log; needs the group `tracing` unless it is 0.
+    `trace_share`: share of the jobs whose spans go into the log; needs the group `tracing` unless it is 0.
     """
 
     on: bool = False
@@ -42,11 +45,14 @@
 
 
 class Features(msgspec.Struct, forbid_unknown_fields=True):
+    """Contents of the file, a table for each subsystem."""
+
     pipelines: Pipelines = msgspec.field(default_factory=Pipelines)
     console: Console = msgspec.field(default_factory=Console)
 
 
 def parse(text: str) -> Features:
+    """Raises FeaturesError."""
     try:
         return msgspec.convert(tomllib.loads(text), Features)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
@@ -54,7 +60,7 @@
 
 
 def load(path: Path) -> Features:
-    """Raises FeaturesError if the file is there and cannot be used."""
+    """Features from a file, all off if there is none. Raises FeaturesError if the file cannot be used."""
     try:
         return parse(path.read_text("utf-8"))
     except FileNotFoundError:
--- a/pepperlatch/settings.py
+++ b/pepperlatch/settings.py
@@ -1,4 +1,8 @@
-"""The platform's settings file: read, checked, unknown fields ignored."""
+"""The platform's settings file (`--config`): read and checked; unknown fields are ignored.
+
+Names that end in _s are seconds, _ms milliseconds. The rename tables in `protocol/wire.py` hold the outer names of the
+fields whose names differ in the file.
+"""
 
 import tomllib
 from pathlib import Path
@@ -9,21 +13,27 @@
 
 
 class SettingsError(Exception):
-    """The file is missing, unreadable, or a field in it is missing or wrong."""
+    """The file is missing or unreadable, or a field in it is missing or wrong. The node does not start."""
 
 
 class Peer(msgspec.Struct, rename=wire.SETTINGS_PEER):
+    """Another controller. `addr`: its listener for controllers."""
+
     node: str
     zone: str
     addr: str
 
 
 class ServiceAddresses(msgspec.Struct):
+    """Addresses of the cloud and of the state service."""
+
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct):
+    """Guaranteed amounts of a team, and its limits (`..._max`); 0 means no limit."""
+
     name: str
     cpus: float
     cpus_max: float
@@ -32,6 +42,8 @@
 
 
 class Objective(msgspec.Struct, rename={"job_class": "class"}):
+    """A service objective: `share` of the jobs (of `job_class`, if given) meet `kind` within `within_s` seconds."""
+
     kind: str
     job_class: str | None = None
     within_s: float | None = None
@@ -39,6 +51,13 @@
 
 
 class WorkerTimings(msgspec.Struct):
+    """The workers' timings in seconds.
+
+    `report_s`: between two reports. `lease_s`: a worker without an answer for so long ends its tasks.
+    `gang_wait_s`: how long a gang's task waits for the others. `gang_peer_s`: how long one may be missing before the
+    gang ends. `cancel_s`: bound within which a cancelled job's tasks have to be gone.
+    """
+
     report_s: float
     lease_s: float
     gang_wait_s: float
@@ -47,7 +66,7 @@
 
 
 class StateNext(msgspec.Struct):
-    """Limits that the state service will have from some moment on, without notice."""
+    """Limits that the state service will have from some moment on, without notice; None where nothing changes."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -56,6 +75,12 @@
 
 
 class StateLimits(msgspec.Struct):
+    """Limits of the state service, for all controllers together.
+
+    `rps`: requests a second. `write_rps`: writes a second. `value_kb`: KiB of a value. `txn_ops`: writes of a
+    transaction.
+    """
+
     rps: float
     write_rps: float
     value_kb: float
@@ -63,7 +88,7 @@
     next: StateNext | None = None
 
     def lowest(self) -> "StateLimits":
-        """What holds before and after the change: kept to from the start, the change needs no noticing."""
+        """Limits that hold before and after the announced change; kept from the start, it need not be detected."""
         after = self.next or StateNext()
         return StateLimits(
             min(self.rps, after.rps or self.rps),
@@ -74,17 +99,26 @@
 
 
 class CloudLimits(msgspec.Struct):
+    """`rps`: calls a second. `list_lag_s`: seconds by which the list of machines may lag behind."""
+
     rps: float
     list_lag_s: float
 
 
 class NodeLimits(msgspec.Struct, rename=wire.SETTINGS_LIMITS):
+    """What a controller may use of its machine: share of a core, memory, and sockets (`max_connections`)."""
+
     cpu_share: float
     memory_mb: float
     max_connections: int
 
 
 class Params(msgspec.Struct, rename=wire.SETTINGS_PARAMS):
+    """Parameters of the deployment, the same on all controllers. `nodes`: number of controllers.
+
+    `max_clock_error_ms`: bound on the error of each controller's time of day.
+    """
+
     nodes: int
     zones: list[str]
     teams: list[Team]
@@ -97,6 +131,8 @@
 
 
 class Settings(msgspec.Struct, rename=wire.SETTINGS_NODE):
+    """Settings of one controller. `listen`: for users and workers; `peer_listen`: for controllers and operators."""
+
     node: str
     zone: str
     listen: str
@@ -107,6 +143,7 @@
 
 
 def parse(text: str) -> Settings:
+    """Settings from the file's text, with the lowest of the announced state service limits. Raises SettingsError."""
     try:
         settings = msgspec.convert(tomllib.loads(text), Settings)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
@@ -117,6 +154,7 @@
 
 
 def load(path: str) -> Settings:
+    """Settings from a file. Raises SettingsError."""
     try:
         return parse(Path(path).read_text("utf-8"))
     except (OSError, UnicodeDecodeError) as error:
@@ -124,6 +162,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
+    """Host and port. Raises SettingsError."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise SettingsError(f"not an address: {address!r}")
