--- a/tests/acceptance/test_back_at_once.py
+++ b/tests/acceptance/test_back_at_once.py
@@ -149,7 +149,7 @@
     def __init__(self, seconds: float, lose: bool) -> None:
         self.seconds, self.lose, self.given_back = seconds, lose, []  # type: ignore[var-annotated]
 
-    async def grant(self, life_ms: int) -> int:
+    async def grant_lease(self, life_ms: int) -> int:
         await trio.sleep(self.seconds)
         return 7
 
@@ -158,7 +158,7 @@
             raise OutcomeUnknown("no answer")
         return type("Done", (), {"applied": True, "revision": 9})
 
-    async def revoke(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         self.given_back.append(lease)
 
 
