--- a/pepperlatch/console/part.py
+++ b/pepperlatch/console/part.py
@@ -17,7 +17,7 @@
 from pepperlatch.controller.leadership import Term
 from pepperlatch.policy.events import Listener
 from pepperlatch.protocol.http.server import Request, Response, Server
-from pepperlatch.protocol.state import Away, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown
 from pepperlatch.settings import split_address
 
 if TYPE_CHECKING:
@@ -88,7 +88,7 @@
                 from pepperlatch.console.public import Public
 
                 host, port = split_address(self._wanted.public.listen)
-                server = Server(Public(self._views(), self._wanted.public).handle, c.PUBLIC_CONNECTIONS)
+                server = Server(Public(self._views(), self._wanted.public).handle, c.MAX_PUBLIC_CONNECTIONS)
                 nursery.start_soon(server.serve, host, port)
             await self._looked.wait()
             await self._views().run()
@@ -104,11 +104,11 @@
         saving = Saving(self._core, leader, recorder)
         await saving.restore()
         while not term.over:
-            until = self._core.clock() + c.SAVE_EVERY_S
+            until = self._core.clock() + c.SAVE_INTERVAL_S
             while self._core.clock() < until and not term.over:
-                await trio.sleep(c.MONEY_EVERY_S)
+                await trio.sleep(c.SPENDING_INTERVAL_S)
                 recorder.money.sample(leader.cluster.machines.values(), self._core.clock())
             try:
                 await saving.save()
-            except (Away, Unsure) as error:
+            except (NotExecuted, OutcomeUnknown) as error:
                 log.debug("time lines are saved later: %s", error)
--- a/pepperlatch/console/rows.py
+++ b/pepperlatch/console/rows.py
@@ -12,7 +12,7 @@
 
 from pepperlatch.constants import console as c
 from pepperlatch.policy.reasons import Why
-from pepperlatch.protocol.wire import RANK, JobState, Priority
+from pepperlatch.protocol.wire import PRIORITY_RANK, JobState, Priority
 
 _SPELLED = {"job_class": "class"}
 
@@ -49,7 +49,7 @@
 }
 OVER = frozenset((JobState.DONE.value, JobState.CANCELLED.value))
 _QUEUED = JobState.QUEUED.value
-_RANKS = {priority.value: rank for priority, rank in RANK.items()}
+_RANKS = {priority.value: rank for priority, rank in PRIORITY_RANK.items()}
 _SORTS: dict[str, Callable[[JobRow], Any]] = {
     "since": lambda row: row.since,
     "submitted": lambda row: row.at,
@@ -61,7 +61,7 @@
     "due": lambda row: row.due if row.due is not None else 1e18,
 }
 _PLAIN = ("team", "class", "text")
-_NUMBERS = {"page": (1, c.PAGE_MOST), "most": (1000, 1_000_000)}
+_NUMBERS = {"page": (1, c.MAX_PAGE_ROWS), "most": (1000, 1_000_000)}
 
 
 class Query(msgspec.Struct, frozen=True):
@@ -74,8 +74,8 @@
     why: str = ""
     text: str = ""
     sort: str = "since"
-    page: int = c.PAGE
-    most: int = c.CHANGES_BYTES
+    page: int = c.DEFAULT_PAGE_ROWS
+    most: int = c.DEFAULT_CHANGES_BYTES
     after: str = ""
 
     def takes(self, row: JobRow) -> bool:
--- a/pepperlatch/console/saving.py
+++ b/pepperlatch/console/saving.py
@@ -18,7 +18,7 @@
 from pepperlatch.controller import store
 from pepperlatch.controller.extensions import ExtensionContext
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.state import Away, Refused, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown, Rejected
 
 if TYPE_CHECKING:
     from pepperlatch.controller.leader import Leader
@@ -44,7 +44,7 @@
         self._first_slot = 0
         limits = core.settings.params.state
         self._piece = int(limits.value_kb * 1024) - core_slack()
-        self._pieces = max(1, min(c.SAVE_VALUES, limits.txn_ops))
+        self._pieces = max(1, min(c.MAX_SAVE_VALUES, limits.txn_ops))
 
     # --- taking over --------------------------------------------------------------------------------
 
@@ -54,8 +54,8 @@
             try:
                 _, pairs = await self._core.state.read_all(PREFIX)
                 break
-            except (Away, Unsure):
-                await trio.sleep(c.SAVE_POLL_S)
+            except (NotExecuted, OutcomeUnknown):
+                await trio.sleep(c.SAVE_BUDGET_POLL_S)
         else:
             return
         found = sorted(_savings(pairs), key=lambda saving: saving[0], reverse=True)
@@ -77,13 +77,16 @@
         history, wall = self._recorder.history, self._core.wall()
         for job_id in history.unended():
             entry = self._leader.replica.jobs.get(job_id)
-            if entry is not None and entry.state in wire.FINAL:
+            if entry is not None and entry.state in wire.FINAL_JOB_STATES:
                 history.add(job_id, What.OVER, wall, f"{entry.state.value} before then")
 
     # --- saving -------------------------------------------------------------------------------------
 
     async def save(self) -> None:
-        """One saving, piece by piece as the budget has room. Raises Away or Unsure; the slot is then no saving."""
+        """One saving, piece by piece as the budget has room.
+
+        Raises NotExecuted or OutcomeUnknown; the slot is then no saving.
+        """
         changed = self._recorder.changed
         if changed == self._saved:
             return
@@ -101,14 +104,14 @@
 
     async def _write(self, key: str, piece: Piece) -> bool:
         """Only while this leader leads, and only when nobody waits for the budget."""
-        while self._core.state.writes_spare() < 1:
-            await trio.sleep(c.SAVE_POLL_S)
+        while self._core.state.spare_writes() < 1:
+            await trio.sleep(c.SAVE_BUDGET_POLL_S)
             if self._leader.term.over:
                 return False
-        lead = wire.when(store.LEADER, self._leader.term.token)
+        lead = wire.version_condition(store.LEADER, self._leader.term.token)
         try:
             outcome = await self._core.state.txn([lead], [wire.put(key, wire.to_plain(piece))])
-        except Refused as error:
+        except Rejected as error:
             log.info("time lines cannot be saved: %s", error)
             return False
         return outcome.applied
@@ -116,7 +119,7 @@
 
 def core_slack() -> int:
     """Bytes of a value that are not the piece's text."""
-    return core.VALUE_SLACK_BYTES + 96
+    return core.VALUE_OVERHEAD_BYTES + 96
 
 
 def _savings(pairs: list[wire.KeyValue]) -> list[tuple[tuple[int, int], int, bytes]]:
@@ -133,7 +136,7 @@
 
 def _whole(slot: int, pieces: dict[int, Piece]) -> tuple[tuple[int, int], int, bytes] | None:
     first: Any = pieces.get(0)
-    if first is None or not 1 <= first.of <= c.SAVE_VALUES:
+    if first is None or not 1 <= first.of <= c.MAX_SAVE_VALUES:
         return None
     row = [pieces.get(n) for n in range(first.of)]
     if any(piece is None or (piece.token, piece.number) != (first.token, first.number) for piece in row):
--- a/pepperlatch/controller/admin.py
+++ b/pepperlatch/controller/admin.py
@@ -12,7 +12,7 @@
 from pepperlatch.policy.operator_settings import OPERATOR_SETTINGS, InvalidSetting, OperatorSettings, validated
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
-from pepperlatch.protocol.state import Away, StateClient, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown, StateClient
 
 SETTINGS, VIEW = "/admin/settings", "/admin/view"
 
@@ -34,8 +34,8 @@
         self._view = view
 
     async def handle(self, request: Request) -> Response:
-        """Answer within SUBMIT_WAIT_S: an operator who examines an outage must not wait for its end."""
-        with trio.move_on_after(c.SUBMIT_WAIT_S):
+        """Answer within SUBMIT_TIMEOUT_S: an operator who examines an outage must not wait for its end."""
+        with trio.move_on_after(c.SUBMIT_TIMEOUT_S):
             return await self._answer(request)
         return _unavailable(request)
 
@@ -48,7 +48,7 @@
                 return Response(200, self._describe())
             if request.path == SETTINGS and request.method == "PUT":
                 return await self._change(request.body)
-        except (Away, Unsure):
+        except (NotExecuted, OutcomeUnknown):
             return _unavailable(request)
         return Response(404, {"error": "no such path"})
 
@@ -90,7 +90,7 @@
         if version != current:
             return Response(409, {"error": "stale version", "version": current})
         outcome = await self._state.txn(
-            [wire.when(store.TUNING, current)], [wire.put(store.TUNING, {**stored, **values})]
+            [wire.version_condition(store.TUNING, current)], [wire.put(store.TUNING, {**stored, **values})]
         )
         if not outcome.applied:
             return Response(409, {"error": "stale version"})
--- a/pepperlatch/controller/attestation.py
+++ b/pepperlatch/controller/attestation.py
@@ -20,7 +20,7 @@
 from pepperlatch.controller import store
 from pepperlatch.controller.leadership import Leadership, Term
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Response
 from pepperlatch.settings import Peer
 
@@ -80,13 +80,15 @@
         return Response(200, wire.to_plain(self._attest(request)))
 
     def _attest(self, request: AttestationRequest) -> Attestation:
-        """Return the cancellations that this node knows since the requested revision, at most about `VOUCH_MOST`."""
+        """Return the cancellations that this node knows since the requested revision, at most about `MAX_ATTESTED_CANCELLATIONS`."""
         leader_key, term = self._replica.leader, self._leadership.term
         leads = [term.token] if term is not None and not term.over else []
         token = max([leader_key[1] if leader_key is not None else 0, *leads])
         found = self._replica.cancelled_since(request.revision)
         shown = found or []
-        last = shown[: c.VOUCH_MOST][-1][0] if shown else 0  # one revision may cancel several jobs: send all or none
+        last = (
+            shown[: c.MAX_ATTESTED_CANCELLATIONS][-1][0] if shown else 0
+        )  # one revision may cancel several jobs: send all or none
         rows = [
             CancelledJob(job_id, wire.to_plain(self._replica.jobs[job_id].record), version)
             for version, job_id in shown
@@ -147,7 +149,7 @@
     async def notify_leader(self, job_id: str, record: store.JobRecord, version: int) -> None:
         """Notify the leader of a confirmed cancellation before the user is answered, so that it starts no such task.
 
-        Usually takes a few ms, at most `TELL_S`. A leader that does not answer learns of it from its watch. If this is
+        Usually takes a few ms, at most `CANCEL_NOTIFY_TIMEOUT_S`. A leader that does not answer learns of it from its watch. If this is
         cancelled, the leader may have been notified or not.
         """
         leader_key = self._replica.leader
@@ -155,15 +157,15 @@
         if peer is None:
             return
         body = wire.to_plain(CancelledJob(job_id, wire.to_plain(record), version))
-        with contextlib.suppress(NotSent, Lost):
-            await self._network.request(peer.addr, "POST", PEER_CANCELLED, body, c.TELL_S)
+        with contextlib.suppress(NotSent, NoUsableResponse):
+            await self._network.request(peer.addr, "POST", PEER_CANCELLED, body, c.CANCEL_NOTIFY_TIMEOUT_S)
 
     async def _request_one(self, peer: Peer, request: AttestationRequest) -> Attestation | None:
         """Return one controller's attestation; None if it does not answer, or not as expected."""
         try:
             body = wire.to_plain(request)
-            status, answer = await self._network.request(peer.addr, "POST", PEER_ATTEST, body, c.PROBE_S)
+            status, answer = await self._network.request(peer.addr, "POST", PEER_ATTEST, body, c.PROBE_TIMEOUT_S)
             attestation: Attestation | None = wire.convert(answer, Attestation) if status == 200 else None
             return attestation
-        except (NotSent, Lost, msgspec.ValidationError):
+        except (NotSent, NoUsableResponse, msgspec.ValidationError):
             return None
--- a/pepperlatch/controller/command_loop.py
+++ b/pepperlatch/controller/command_loop.py
@@ -37,11 +37,11 @@
 
     def is_backlogged(self) -> bool:
         """Return whether the node falls behind, so that optional work such as the console's should wait."""
-        return len(self._queue) >= c.QUEUE_LONG
+        return len(self._queue) >= c.LONG_QUEUE_COMMANDS
 
     def is_full(self) -> bool:
         """Return whether new reports are to be refused; results of the node's own requests are always enqueued."""
-        return len(self._queue) >= c.QUEUE_MOST
+        return len(self._queue) >= c.MAX_QUEUE_COMMANDS
 
     async def run(self) -> None:
         """Run commands until cancelled."""
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -1,6 +1,6 @@
 """The regular exchange between the leader and its followers.
 
-Every `CONTACT_EVERY_S` a follower asks the leader (PEER_CONTACT) what it may show users of each job and which
+Every `CONTACT_INTERVAL_S` a follower asks the leader (PEER_CONTACT) what it may show users of each job and which
 heartbeats it may answer (delegation). At the same pace the leader tells every other controller that it is alive
 (PEER_REVOKE_RENEWAL); each acknowledges that it will not renew workers' leases on the leader's behalf for a while (see
 `heartbeats/handler.py`, delegated lease renewal). The leader also hands over from here if it cannot do its work.
@@ -27,7 +27,7 @@
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.model import Status
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Response
 from pepperlatch.settings import Peer, Settings
 
@@ -111,23 +111,23 @@
         return Response(200, answer)
 
     async def _delegate(self, leader: Leader, follower: str, statement: DelegationStatement) -> DelegationAnswer | None:
-        """The follower's new delegation; None if the leader may not delegate now, or takes over DELEGATION_WAIT_S.
+        """The follower's new delegation; None if the leader may not delegate now, or takes over DELEGATION_TIMEOUT_S.
 
         The contact itself must not wait for a busy leader.
         """
         reply: Reply[DelegationAnswer | None] = Reply()
         copy_current_at = leader.term.copy_current_at()
         self._command_loop.enqueue(lambda: leader.on_delegation_statement(follower, statement, copy_current_at, reply))
-        with trio.move_on_after(c.DELEGATION_WAIT_S):
+        with trio.move_on_after(c.DELEGATION_TIMEOUT_S):
             return await reply.get()
         return None
 
     def _job_progress(self, leader: Leader, now: float) -> dict[str, Any]:
         """Rows by job id: tasks running, tasks done, reason, seconds since that reason, kind of reason.
 
-        Followers show them to users. Kept for SHOWN_S, for followers that ask at about the same time.
+        Followers show them to users. Kept for LEADER_SUMMARY_CACHE_S, for followers that ask at about the same time.
         """
-        if self._progress_cache[0] != leader.term.token or now - self._progress_cache[1] > c.SHOWN_S:
+        if self._progress_cache[0] != leader.term.token or now - self._progress_cache[1] > c.LEADER_SUMMARY_CACHE_S:
             rows = {
                 j.spec.id: [j.running(), len(j.done), j.reason.text(), round(now - j.reason_since, 1), j.reason.kind]
                 for j in leader.cluster.jobs.values() if not j.over
@@ -151,7 +151,7 @@
     async def run(self) -> None:
         """Exchange messages until cancelled. A leader that nobody reaches, or whose reads fail, hands over."""
         while True:
-            await trio.sleep(c.CONTACT_EVERY_S)
+            await trio.sleep(c.CONTACT_INTERVAL_S)
             known_leader, leader = self._replica.leader, self._leader()
             if leader is not None:
                 message = self._leader_message(leader)
@@ -159,7 +159,7 @@
                     nursery.start_soon(self._delegate_to_self, leader)
                     for peer in self._settings.peers:
                         nursery.start_soon(self._revoke_renewal, leader, peer, message)
-                    if self._clock() - self._replica.current_at > c.VOUCH_AFTER_S:
+                    if self._clock() - self._replica.current_at > c.ATTESTATION_AFTER_S:
                         nursery.start_soon(self._attestation.request_attestations, leader.term)
                 if reason := self._handover_reason(leader):
                     log.info("handing over leadership: %s", reason)
@@ -177,13 +177,16 @@
         return ""
 
     def _isolated(self, leader: Leader) -> bool:
-        """Whether no report, direct or forwarded, and no answer of a peer came for HANDOVER_REPORTS report intervals.
+        """Whether no report, direct or forwarded, and no answer of a peer came for HANDOVER_SILENT_REPORTS report intervals.
 
         Never if no machine is up.
         """
         machines = [m for m in leader.cluster.machines.values() if m.status is Status.UP]
         since = max([leader.cluster.started, self._peer_answered_at, *(m.last_report_at for m in machines)])
-        return bool(machines) and self._clock() - since > c.HANDOVER_REPORTS * self._settings.params.workers.report_s
+        return (
+            bool(machines)
+            and self._clock() - since > c.HANDOVER_SILENT_REPORTS * self._settings.params.workers.report_s
+        )
 
     async def _contact_leader(self, peer: Peer, token: int) -> None:
         """As a follower: report to the leader and take in its answer. Without one, everything stays as it was."""
@@ -233,14 +236,14 @@
         answer = await self._request(peer, PEER_REVOKE_RENEWAL, message)
         if answer is not None:
             self._peer_answered_at = self._clock()
-            until = sent + c.STAND_IN_BAR_S - c.STAND_IN_SLACK_S
+            until = sent + c.DELEGATED_RENEWAL_BAR_S - c.DELEGATED_RENEWAL_BAR_MARGIN_S
             self._command_loop.enqueue(lambda: leader.cluster.on_promise(peer.node, answer, until, self._clock()))
 
     async def _request(self, peer: Peer, path: str, message: PeerMessage) -> dict[str, Any] | None:
-        """The peer's answer, or None if there is no usable one within PROBE_S."""
+        """The peer's answer, or None if there is no usable one within PROBE_TIMEOUT_S."""
         try:
             body = msgspec.to_builtins(message)
-            status, answer = await self._network.request(peer.addr, "POST", path, body, c.PROBE_S)
-        except (NotSent, Lost):
+            status, answer = await self._network.request(peer.addr, "POST", path, body, c.PROBE_TIMEOUT_S)
+        except (NotSent, NoUsableResponse):
             return None
         return answer if status == 200 and isinstance(answer, dict) else None
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -28,8 +28,8 @@
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.reasons import Reason, Why
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.cloud import CloudClient, CloudTrouble
-from pepperlatch.protocol.http.client import HttpNetwork, Lost, Network, NotSent
+from pepperlatch.protocol.cloud import CloudClient, CloudError
+from pepperlatch.protocol.http.client import HttpNetwork, Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Request, Response, Server
 from pepperlatch.protocol.state import StateClient
 from pepperlatch.protocol.wire import Report
@@ -154,11 +154,11 @@
 
     async def handle(self, request: Request) -> Response:
         """Serve a request on the public listener: health probe, workers' reports, jobs, extensions."""
-        if request.path == wire.HEALTH:
+        if request.path == wire.HEALTH_PATH:
             return self._health()
-        if request.path == wire.REPORT and request.method == "POST":
+        if request.path == wire.REPORT_PATH and request.method == "POST":
             return await self.heartbeats.serve_heartbeat(request.body)
-        if request.path.startswith(wire.JOBS):
+        if request.path.startswith(wire.JOBS_PATH):
             return await self.users.handle(request)
         return await self.extensions.handle(request) or await self.users.handle(request)
 
@@ -174,15 +174,15 @@
         return Response(200 if healthy and self.replica.loaded else 503, {"healthy": healthy})
 
     def _state_service_good(self) -> bool:
-        """Whether the state service is reachable, or has been unreachable for less than STATE_BAD_S."""
-        return self.state.reachable() or self._clock() - self.state.bad_since < c.STATE_BAD_S
+        """Whether the state service is reachable, or has been unreachable for less than STATE_FAILING_S."""
+        return self.state.reachable() or self._clock() - self.state.failing_since < c.STATE_FAILING_S
 
     async def _state_service_answers(self) -> bool:
         """Whether the state service answers now, for a peer that gets no answers from it.
 
         An answer older than STATE_FRESH_S may be from before the outage, so a new one is requested then.
         """
-        return self._clock() - self.state.good_at < c.STATE_FRESH_S or await self.state.answers()
+        return self._clock() - self.state.last_success_at < c.STATE_FRESH_S or await self.state.responds()
 
     def _find_peer(self, node: str) -> Peer | None:
         return next((p for p in self.settings.peers if p.node == node), None)
@@ -237,7 +237,7 @@
     async def _health_loop(self) -> None:
         """While this node gets no good answers from the state service, ask the other controllers whether they do."""
         while True:
-            await trio.sleep(c.HEALTH_EVERY_S)
+            await trio.sleep(c.HEALTH_INTERVAL_S)
             if self.replica.loaded and self._state_service_good():
                 self._outage_is_local, self._unanswered_rounds = False, 0
                 continue
@@ -259,7 +259,7 @@
         These workers are then redirected to a controller in their own zone.
         """
         while True:
-            await trio.sleep(c.HOME_EVERY_S)
+            await trio.sleep(c.PREFERRED_CONTROLLER_PROBE_INTERVAL_S)
             wanted = self.heartbeats.routes.controllers_to_query(self._clock())
             async with trio.open_nursery() as nursery:
                 for peer in (p for p in self.settings.peers if p.node in wanted):
@@ -280,8 +280,8 @@
     async def _peer_health(self, peer: Peer) -> dict[str, Any] | None:
         """The peer's answer to PEER_HEALTH; empty if it cannot be read, None if the peer does not answer."""
         try:
-            status, answer = await self._network.request(peer.addr, "GET", PEER_HEALTH, None, c.PROBE_S)
-        except (NotSent, Lost):
+            status, answer = await self._network.request(peer.addr, "GET", PEER_HEALTH, None, c.PROBE_TIMEOUT_S)
+        except (NotSent, NoUsableResponse):
             return None
         return answer if status == 200 and isinstance(answer, dict) else {}
 
@@ -293,8 +293,8 @@
         while not self.replica.types and not self.users.types:
             try:
                 self.users.types = await self.cloud.types()
-            except CloudTrouble:
-                await trio.sleep(c.CLOUD_RETRY_S)
+            except CloudError:
+                await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
 
     # --- views ------------------------------------------------------------------------------------
 
@@ -338,7 +338,7 @@
     """Run a controller until cancelled. `on_created` is called with its node before any loop or listener starts."""
     limit = settings.params.limits.max_connections
     accepted = int(limit * c.SOCKET_SHARE_SERVER)
-    by_peers = min(accepted // 5, c.PEER_CONNECTIONS * max(1, len(settings.peers)))
+    by_peers = min(accepted // 5, c.MAX_CONNECTIONS_PER_PEER * max(1, len(settings.peers)))
     network = HttpNetwork(limit - accepted - 20)
     node = Node(settings, network, extensions=extensions)
     on_created(node)
@@ -350,7 +350,7 @@
         ):
             host, port = split_address(address)
             # A crowded listener closes connections, except those that carry workers' reports.
-            server = Server(handler, max_connections, lambda request: request.path == wire.REPORT)
+            server = Server(handler, max_connections, lambda request: request.path == wire.REPORT_PATH)
             await nursery.start(server.serve, host, port)
         nursery.start_soon(node.run)
         while True:
--- a/pepperlatch/controller/extensions.py
+++ b/pepperlatch/controller/extensions.py
@@ -72,7 +72,7 @@
         return None
 
     async def run(self) -> None:
-        """Run while the process lives. Restarted after PART_PAUSE_S if it raises, not if it returns."""
+        """Run while the process lives. Restarted after EXTENSION_RESTART_PAUSE_S if it raises, not if it returns."""
         ...
 
     async def run_while_leading(self, term: Term) -> None:
@@ -142,7 +142,7 @@
                 return
             except Exception:
                 log.exception("extension %s failed, restarting it after a pause", name)
-            await trio.sleep(c.PART_PAUSE_S)
+            await trio.sleep(c.EXTENSION_RESTART_PAUSE_S)
 
     async def run_while_leading(self, term: Term) -> None:
         """Run the extensions' leader code. Returns at most TICK_S after the term is over."""
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -22,7 +22,7 @@
 from pepperlatch.policy.cluster import SILENT, SILENT_CANCELLED
 from pepperlatch.policy.model import Machine, Status
 from pepperlatch.policy.zones import ZoneObservation, ZoneTracker
-from pepperlatch.protocol.http.client import Lost, NotSent
+from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
 from pepperlatch.protocol.wire import Report
 from pepperlatch.protocol.workers import WorkerClient
 
@@ -34,7 +34,7 @@
 
     def __init__(self, zones: ZoneTracker, needed: bool) -> None:
         self._zones = zones
-        self._left = z.PORTION if needed else 0
+        self._left = z.MAX_GIVEN_UP_PER_CHECK if needed else 0
 
     def allows(self, zone: str) -> bool:
         """Return whether one more machine of the zone may be given up, and count it."""
@@ -59,7 +59,7 @@
         self._workers = workers
         self._peers = peers
         self._on_report = on_report
-        self._fencing = trio.CapacityLimiter(c.FENCE_AT_ONCE)
+        self._fencing = trio.CapacityLimiter(c.MAX_CONCURRENT_FENCES)
         self._witnesses: list[str] = []  # addresses that others try too, to know whether they are cut off themselves
 
     # --- fencing ----------------------------------------------------------------------------------
@@ -67,20 +67,20 @@
     async def fence(self, machine: Machine) -> None:
         """Show the machine our token, so that no earlier leader can command it any more; retry until that succeeds.
 
-        At most `FENCE_AT_ONCE` run at once. Hundreds would miss their deadlines on our share of a core, be retried,
+        At most `MAX_CONCURRENT_FENCES` run at once. Hundreds would miss their deadlines on our share of a core, be retried,
         and keep the leader from renewing its lease. A machine that does not answer goes to the end of the queue.
         """
         while not self._leader_task.term.over:
             async with self._fencing:
                 if machine.name not in self._leader_task.cluster.unverified or self._leader_task.term.over:
                     return
-                with contextlib.suppress(NotSent, Lost):
+                with contextlib.suppress(NotSent, NoUsableResponse):
                     executed, report = await self._show_token(machine, max(1, machine.session))
                     if not executed and report.session != max(1, machine.session):
                         executed, _ = await self._show_token(machine, report.session)
                     if executed:
                         return
-            await trio.sleep(c.FENCE_PAUSE_S)
+            await trio.sleep(c.FENCE_RETRY_S)
 
     async def _show_token(self, machine: Machine, session: int) -> tuple[bool, Report]:
         """Show our token directly, or else through another controller, which then forwards the machine's reports.
@@ -90,9 +90,9 @@
         through_others, sent = False, self._leader_task.clock()
         try:
             executed, report = await self._workers.command(
-                machine.addr, self._leader_task.term.token, session, [], c.FENCE_TRY_S
+                machine.addr, self._leader_task.term.token, session, [], c.FENCE_TIMEOUT_S
             )
-        except (NotSent, Lost):
+        except (NotSent, NoUsableResponse):
             machine.fence_failed = True
             fenced = await self._peers.fence(machine.addr, machine.zone, self._leader_task.term.token, session)
             executed, report, through_others = fenced.executed, fenced.report, True
@@ -101,7 +101,7 @@
 
     def _on_fence_result(self, machine: Machine, report: Report, sent: float, through_others: bool) -> None:
         if through_others:
-            machine.relay_until = self._leader_task.clock() + c.RELAY_STICKY_S
+            machine.relay_until = self._leader_task.clock() + c.FORWARD_PERIOD_S
         self._on_report(report, sent, through_others)
 
     # --- silent machines --------------------------------------------------------------------------
@@ -125,11 +125,13 @@
         zones = {m.zone for m in cluster.machines.values()}
         kept_zones = {zone for zone in zones if planner.zones.keeps_machines(zone, now)}
         elsewhere = sum(1 for m in silent if m.zone not in kept_zones)
-        many_silent = elsewhere > max(1, c.SILENT_MANY_SHARE * len(cluster.machines))
+        many_silent = elsewhere > max(1, c.MANY_SILENT_SHARE * len(cluster.machines))
         for machine in cluster.machines.values():
             if machine.status is Status.BOOTING and machine.zone not in kept_zones and self._boot_overdue(machine, now):
                 cluster.release(machine, "never came up")
-            if machine.lost_answers >= c.UNHEARD_MOST or any(not a.wanted for a in machine.attempts.values()):
+            if machine.lost_answers >= c.MAX_LOST_LAUNCH_ANSWERS or any(
+                not a.wanted for a in machine.attempts.values()
+            ):
                 cluster.machines_to_command.add(machine)
         if lease_valid:
             self._give_up([machine for machine in late if machine.zone not in kept_zones], many_silent, now)
@@ -160,7 +162,7 @@
         answers: dict[str, bool] = {settings.zone: True}
         for peer in settings.peers:
             heard_at = max(cluster.peer_answered_at.get(peer.node, cluster.started), cluster.started)
-            answers[peer.zone] = answers.get(peer.zone, False) or now - heard_at <= z.ANSWER_S
+            answers[peer.zone] = answers.get(peer.zone, False) or now - heard_at <= z.CONTROLLER_ANSWER_VALID_S
         for zone in settings.params.zones:
             self._leader_task.planner.observe_zone(zone, ZoneObservation(up[zone], lost[zone], answers.get(zone)), now)
 
@@ -174,7 +176,7 @@
             else:
                 out.append(machine)
         for machines in cut.values():
-            out += heapq.nsmallest(z.PROBES, machines, key=lambda m: (m.probes + m.isolated_probes, m.name))
+            out += heapq.nsmallest(z.PROBES_PER_CHECK, machines, key=lambda m: (m.probes + m.isolated_probes, m.name))
         return out
 
     def _late_machines(self, now: float) -> list[Machine]:
@@ -199,12 +201,12 @@
         """Return whether to give up a silent machine; if many are silent at once, the network is at fault and none is.
 
         While no other controller can be asked, a network cut looks like a dead machine. Then only the end of the
-        machine's lease decides, after which nothing runs there any more. After `SILENT_LONG_S` it is always given up.
+        machine's lease decides, after which nothing runs there any more. After `MAX_SILENCE_S` it is always given up.
         """
-        if now - max(machine.last_report_at, self._leader_task.cluster.started) > c.SILENT_LONG_S:
+        if now - max(machine.last_report_at, self._leader_task.cluster.started) > c.MAX_SILENCE_S:
             return True
         fenced = machine.last_report_at < 0  # fencing has been tried twice before
-        asked = machine.probes >= (1 if fenced else c.SILENT_PROBES)
+        asked = machine.probes >= (1 if fenced else c.MAX_UNANSWERED_PROBES)
         return not many_silent and (
             asked or (machine.isolated_probes > 0 and self._leader_task.cluster.lease_over(machine, now))
         )
@@ -248,10 +250,10 @@
         """
         report: Report | None = None
         sent = self._leader_task.clock()
-        with contextlib.suppress(NotSent, Lost):
+        with contextlib.suppress(NotSent, NoUsableResponse):
             report = await self._workers.inspect(machine.addr)
         through_others, heard = False, True
-        if report is None and (machine.probes + 1 >= c.SILENT_PROBES or machine.last_report_at < 0):
+        if report is None and (machine.probes + 1 >= c.MAX_UNANSWERED_PROBES or machine.last_report_at < 0):
             report, heard = await self._peers.inspect(machine.addr, self._witnesses)
             through_others = report is not None
         self._leader_task.command_loop.enqueue(
@@ -263,7 +265,7 @@
     ) -> None:  # fmt: skip
         machine.probing = False
         if through_others:  # its reports are forwarded, see Cluster.machines_to_relay
-            machine.relay_until = self._leader_task.clock() + c.RELAY_STICKY_S
+            machine.relay_until = self._leader_task.clock() + c.FORWARD_PERIOD_S
         machine.probes += heard
         machine.isolated_probes += not heard
         if report is not None:
--- a/pepperlatch/controller/heartbeats/forwarding.py
+++ b/pepperlatch/controller/heartbeats/forwarding.py
@@ -13,7 +13,7 @@
 import trio
 
 from pepperlatch.constants import core as c
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 
 PEER_HEARTBEAT, PEER_HEARTBEATS = "/peer/beat", "/peer/beats"
 Answer = tuple[int, Any]  # status and decoded body
@@ -52,7 +52,7 @@
     async def forward(self, addr: str, plain: Any, seconds: float) -> Answer:
         """Status and answer for one report, as if it had been sent by itself; waits at most `seconds`.
 
-        Raises NotSent or Lost. If cancelled or Lost, the leader may have processed the report.
+        Raises NotSent or NoUsableResponse. If cancelled or Lost, the leader may have processed the report.
         """
         item = _PendingReport(addr, plain)
         self._queue.append(item)
@@ -64,22 +64,22 @@
         if item.outcome is None:
             if item in self._queue:  # its worker has stopped waiting: nobody would read the answer
                 self._queue.remove(item)
-            raise Lost(f"{addr}: no answer within {seconds:.1f} s")
+            raise NoUsableResponse(f"{addr}: no answer within {seconds:.1f} s")
         return item.outcome
 
     async def run(self) -> None:
-        """Send queued reports until cancelled, with at most FORWARD_AT_ONCE requests in flight.
+        """Send queued reports until cancelled, with at most MAX_CONCURRENT_FORWARDS requests in flight.
 
-        After a request is started, reports gather for FORWARD_GAP_S before the queue is emptied again.
+        After a request is started, reports gather for MIN_FORWARD_INTERVAL_S before the queue is emptied again.
         """
         async with trio.open_nursery() as nursery:
             while True:
                 await self._wake.wait()
                 self._wake = trio.Event()
                 await trio.sleep_until(max(self._next_at, trio.current_time()))
-                while self._queue and self._in_flight < c.FORWARD_AT_ONCE:
+                while self._queue and self._in_flight < c.MAX_CONCURRENT_FORWARDS:
                     self._in_flight += 1
-                    self._next_at = trio.current_time() + c.FORWARD_GAP_S
+                    self._next_at = trio.current_time() + c.MIN_FORWARD_INTERVAL_S
                     nursery.start_soon(self._deliver, self._take_batch())
 
     def _take_batch(self) -> list[_PendingReport]:
@@ -89,9 +89,9 @@
         if trio.current_time() < self._single_until.get(addr, 0.0):
             return batch
         size = len(orjson.dumps(batch[0].plain))
-        while self._queue and self._queue[0].addr == addr and len(batch) < c.FORWARD_MOST:
+        while self._queue and self._queue[0].addr == addr and len(batch) < c.MAX_FORWARD_REPORTS:
             size += len(orjson.dumps(self._queue[0].plain)) + 1
-            if size > c.FORWARD_BYTES:
+            if size > c.MAX_FORWARD_BYTES:
                 break
             batch.append(self._queue.popleft())
         return batch
@@ -109,8 +109,8 @@
     async def _send_single(self, item: _PendingReport) -> None:
         """Send one report by itself, which every version understands."""
         try:
-            item.settle(await self._network.request(item.addr, "POST", PEER_HEARTBEAT, item.plain, c.RELAY_S))
-        except (NotSent, Lost) as error:
+            item.settle(await self._network.request(item.addr, "POST", PEER_HEARTBEAT, item.plain, c.FORWARD_TIMEOUT_S))
+        except (NotSent, NoUsableResponse) as error:
             item.settle(error)
 
     async def _send_batch(self, batch: list[_PendingReport]) -> None:
@@ -118,14 +118,14 @@
         addr = batch[0].addr
         body = {"beats": [item.plain for item in batch], "node": self._node}
         try:
-            status, answer = await self._network.request(addr, "POST", PEER_HEARTBEATS, body, c.RELAY_S)
-        except (NotSent, Lost) as error:
+            status, answer = await self._network.request(addr, "POST", PEER_HEARTBEATS, body, c.FORWARD_TIMEOUT_S)
+        except (NotSent, NoUsableResponse) as error:
             for item in batch:
                 item.settle(error)
             return
         answers = answer.get("answers") if status == 200 and isinstance(answer, dict) else None
         if not isinstance(answers, list) or len(answers) != len(batch):  # an earlier version, without this path
-            self._single_until[addr] = trio.current_time() + c.FORWARD_ALONE_S
+            self._single_until[addr] = trio.current_time() + c.FORWARD_UNBATCHED_S
             async with trio.open_nursery() as nursery:
                 for item in batch:
                     nursery.start_soon(self._send_single, item)
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -25,7 +25,7 @@
 from pepperlatch.policy.heartbeat_router import HeartbeatRouter
 from pepperlatch.policy.model import split_task
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Response
 from pepperlatch.protocol.state import StateClient
 from pepperlatch.protocol.wire import Report
@@ -78,7 +78,7 @@
     # --- workers' reports -------------------------------------------------------------------------
 
     async def serve_heartbeat(self, body: bytes) -> Response:
-        """Serve a worker's report, within HEARTBEAT_PATIENCE_S.
+        """Serve a worker's report, within MAX_HEARTBEAT_WAIT_S.
 
         421 sends the worker to another controller, 503 means that nobody may answer it. If cancelled, the leader may
         still have processed the report.
@@ -91,8 +91,8 @@
         now = self._clock()
         preferred = self.routes.preferred_controller(report.machine, report.zone, now)
         if preferred is not None and self.routes.may_redirect(report.machine, now):
-            return Response(421, wire.misdirected(preferred))
-        return await self._answer(report, plain, now + c.HEARTBEAT_PATIENCE_S)
+            return Response(421, wire.redirect_body(preferred))
+        return await self._answer(report, plain, now + c.MAX_HEARTBEAT_WAIT_S)
 
     async def _answer(self, report: Report, plain: Any, deadline: float) -> Response:
         """Answer the report, retrying until the deadline with whoever leads by then.
@@ -136,14 +136,14 @@
     async def answer_all_as_leader(self, reports: list[Report], follower: str = "") -> list[HeartbeatAnswer]:
         """As the leader: an answer for each of the reports, None for those that nobody may answer.
 
-        All are None if this node does not lead, its queue is full, or the owner takes over RELAY_S. `follower`: the
+        All are None if this node does not lead, its queue is full, or the owner takes over FORWARD_TIMEOUT_S. `follower`: the
         controller that forwarded them, if it accepts delegations, else "".
         """
         leader = self._leader()
         reply: Reply[list[HeartbeatAnswer]] = Reply()
         if leader is not None and not self._command_loop.is_full():
             self._command_loop.enqueue(lambda: leader.on_heartbeats(reports, follower, reply))
-            with trio.move_on_after(c.RELAY_S):
+            with trio.move_on_after(c.FORWARD_TIMEOUT_S):
                 answers = await reply.get()
                 if answers is not None:
                     return answers
@@ -159,23 +159,23 @@
             return self._renew_lease(report)
         refused = False
         try:
-            seconds = min(c.RELAY_S, max(c.HEARTBEAT_RETRY_S, deadline - self._clock()))
+            seconds = min(c.FORWARD_TIMEOUT_S, max(c.HEARTBEAT_RETRY_S, deadline - self._clock()))
             self.delegated_answers.on_forwarded(report)
             status, answer = await self.forwarder.forward(self._addr[leader], plain, seconds)
             if status == 200 and isinstance(answer, dict):
                 number = answer.pop(GRANT, None)
-                self.delegated_answers.on_answered(report, number, wire.answered_token(answer), self._clock())
+                self.delegated_answers.on_answered(report, number, wire.answer_token(answer), self._clock())
                 return Response(200, answer)
         except NotSent:
             refused = True
-        except Lost:
+        except NoUsableResponse:
             pass
         finally:
             self.delegated_answers.on_forward_ended(report)
         if self._may_renew_lease(report):
             return self._renew_lease(report)
         if refused and self._state_service_reachable() and self.routes.may_redirect(report.machine, self._clock()):
-            return Response(421, wire.misdirected(leader))
+            return Response(421, wire.redirect_body(leader))
         return None
 
     def _try_delegated_answer(self, report: Report, token: int) -> bool:
@@ -198,16 +198,16 @@
         return self._leader() is not None or self._in_contact()
 
     def _state_service_reachable(self) -> bool:
-        """Whether the state service answered within STATE_AWAY_S.
+        """Whether the state service answered within STATE_UNAVAILABLE_S.
 
         If not, this node may not know who leads now, and there is no point in sending workers to that controller.
         """
-        return self._clock() - self._state.good_at <= c.STATE_AWAY_S
+        return self._clock() - self._state.last_success_at <= c.STATE_UNAVAILABLE_S
 
     def _is_over(self, job_id: str) -> bool:
         """Whether this node knows the job to be done or cancelled."""
         entry = self._replica.jobs.get(job_id)
-        return entry is not None and entry.state in wire.FINAL
+        return entry is not None and entry.state in wire.FINAL_JOB_STATES
 
     # --- delegated lease renewal ------------------------------------------------------------------
 
@@ -224,7 +224,7 @@
             known_leader is not None
             and known_leader[1] == contact.token == report.token
             and not self._state_service_reachable()
-            and now > max(self._renewal_revoked_until, self._began_at + c.STAND_IN_BAR_S)
+            and now > max(self._renewal_revoked_until, self._began_at + c.DELEGATED_RENEWAL_BAR_S)
             and now < renewal_deadline(self._lease_extension_s, self._replica.current_at, contact.requested_at)
         )
 
@@ -239,7 +239,7 @@
         return Response(200, wire.report_answer(report.token, orders))
 
     def revoke_renewal(self, unreached: list[str]) -> dict[str, float]:
-        """The leader is alive: renew no leases on its behalf for STAND_IN_BAR_S.
+        """The leader is alive: renew no leases on its behalf for DELEGATED_RENEWAL_BAR_S.
 
         `unreached`: machines that the leader reaches only through other controllers; their reports are accepted here.
         Returns, by machine, the seconds since its lease was last renewed here (those within two lease times), and under
@@ -247,7 +247,7 @@
         """
         now = self._clock()
         self.routes.accept_locally(unreached, now)
-        self._renewal_revoked_until = now + c.STAND_IN_BAR_S
+        self._renewal_revoked_until = now + c.DELEGATED_RENEWAL_BAR_S
         oldest = now - 2 * self._lease_s
         self._renewed_at = {name: at for name, at in self._renewed_at.items() if at > oldest}
         ages = {name: round(now - at, 3) for name, at in self._renewed_at.items()}
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -34,8 +34,8 @@
 from pepperlatch.policy.planner import Planner
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.cloud import CloudClient
-from pepperlatch.protocol.http.client import Lost, NotSent
-from pepperlatch.protocol.state import Away, StateClient, Unsure
+from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown, StateClient
 from pepperlatch.protocol.wire import Report
 from pepperlatch.protocol.workers import WorkerClient
 from pepperlatch.settings import Settings
@@ -141,9 +141,9 @@
             try:
                 if self.replica.revision >= self.term.token:
                     return (await self._state.read_all(store.FLEET))[1]
-            except (Away, Unsure):
+            except (NotExecuted, OutcomeUnknown):
                 pass
-            await trio.sleep(c.WATCH_GAP_S)
+            await trio.sleep(c.MIN_WATCH_INTERVAL_S)
         return None
 
     def _start(self, pairs: list[wire.KeyValue]) -> None:
@@ -152,7 +152,7 @@
         cluster = self.cluster
         cluster.types = {kind.name: kind for kind in self.replica.types}
         for job_id, entry in self.replica.jobs.items():
-            if entry.state not in wire.FINAL:
+            if entry.state not in wire.FINAL_JOB_STATES:
                 self._add_job(job_id)
             elif entry.record.state == entry.state.value:
                 self._records.delete_leftovers(job_id)
@@ -194,7 +194,7 @@
     def _spec_if_ended(self, job_id: str) -> wire.JobSpec | None:
         """Return the description of a job that is done or cancelled; None if the job has not ended or is not known."""
         entry = self.replica.jobs.get(job_id)
-        return entry.record.spec if entry is not None and entry.state in wire.FINAL else None
+        return entry.record.spec if entry is not None and entry.state in wire.FINAL_JOB_STATES else None
 
     def _cancellation_not_before(self, job_id: str) -> float:
         """Return the steady time before which no user was told that the job is cancelled; infinite if it is not.
@@ -209,7 +209,7 @@
         cancellation_not_before = self.replica.cancellation_not_before(cancelled)
         if cancellation_not_before is not None:
             return cancellation_not_before
-        clock_error_s = 2 * self.settings.params.clock_off_ms / 1000  # between the writer and us
+        clock_error_s = 2 * self.settings.params.max_clock_error_ms / 1000  # between the writer and us
         ago_s = self.wall() - self.replica.jobs[cancelled].record.ended + clock_error_s
         assumed_age_s = return_after_s(self.settings.params.workers)
         return self.clock() - (ago_s if self._has_end_time(cancelled) and ago_s >= 0 else assumed_age_s)
@@ -259,7 +259,7 @@
         for job_id in touched:
             entry = self.replica.jobs[job_id]
             known = self.cluster.jobs.get(job_id)
-            if entry.state in wire.FINAL:
+            if entry.state in wire.FINAL_JOB_STATES:
                 self.cluster.end_job(job_id, self.clock(), entry.state is wire.JobState.DONE)
                 self.cluster.listener.job(job_id, entry.state.value, self.clock())
                 if entry.record.state == entry.state.value:
@@ -352,7 +352,7 @@
             self._records.record_machines(now)
 
     def _plan(self, now: float, lease_valid: bool) -> None:
-        """Run one planning round, and rent machines at most every `RENT_GAP_S`.
+        """Run one planning round, and rent machines at most every `MIN_RENT_INTERVAL_S`.
 
         A long round is followed by a long pause, since reports and leases come before planning. The pause is longer
         still if nothing changes: then only points in time can be reached, such as the end of a retry pause.
@@ -363,15 +363,15 @@
         self.planner.place_all(now)
         self._pace.record_round(self.planner.work_done, self.clock() - began)
         self.planner.preempt(now)
-        if lease_valid and now - self._rented_at >= c.RENT_GAP_S:
+        if lease_valid and now - self._rented_at >= c.MIN_RENT_INTERVAL_S:
             self._rented_at = now
             self._rentals.rent(now)
         elif not lease_valid:
             self.planner.explain_renting_held(now)
         took = self.clock() - now
-        self._plan_not_before = now + took + max(c.PLAN_GAP_S, c.PLAN_REST * took)
-        self.planner.replan_after = now + took + c.PLAN_LOOK_REST * took
-        if took > c.PLAN_LONG_S:
+        self._plan_not_before = now + took + max(c.MIN_PLAN_INTERVAL_S, c.PLAN_PAUSE_FACTOR * took)
+        self.planner.replan_after = now + took + c.IDLE_PLAN_PAUSE_FACTOR * took
+        if took > c.SLOW_PLAN_ROUND_S:
             log.info("planning round took %.3f s; heartbeats and commands waited meanwhile", took)
 
     def _refuse_heartbeats(self) -> None:
@@ -414,7 +414,7 @@
                 continue
             orders, launched = self.cluster.orders_direct(machine, now)
             if (
-                orders or machine.lost_answers >= c.UNHEARD_MOST
+                orders or machine.lost_answers >= c.MAX_LOST_LAUNCH_ANSWERS
             ):  # an empty command shows whether it receives from us again
                 machine.sending = True
                 self._leader_task.spawn(self._command, machine, machine.session, orders, launched)
@@ -431,9 +431,9 @@
         try:
             executed, report = await self._workers.command(machine.addr, self.term.token, session, orders)
         except NotSent:
-            executed, pause = False, c.COMMAND_S / 2
-        except Lost:
-            pause = c.COMMAND_S
+            executed, pause = False, c.COMMAND_TIMEOUT_S / 2
+        except NoUsableResponse:
+            pause = c.COMMAND_TIMEOUT_S
         self.command_loop.enqueue(lambda: self._on_command_result(machine, report, sent, launched, executed, pause))
 
     def _on_command_result(
--- a/pepperlatch/controller/leaderless.py
+++ b/pepperlatch/controller/leaderless.py
@@ -16,10 +16,10 @@
 from pepperlatch.controller.peers import PeerProxy
 from pepperlatch.controller.store import Replica
 from pepperlatch.policy.cancellations import CancelledOn, return_after_s
-from pepperlatch.protocol.cloud import CloudClient, CloudTrouble
-from pepperlatch.protocol.http.client import Lost, NotSent
+from pepperlatch.protocol.cloud import CloudClient, CloudError
+from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
 from pepperlatch.protocol.workers import WorkerClient
-from pepperlatch.settings import Workers
+from pepperlatch.settings import WorkerTimings
 
 log = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
     """
 
     def __init__(
-        self, times: Workers, clock: Callable[[], float], replica: Replica, leads: Callable[[], bool],
+        self, times: WorkerTimings, clock: Callable[[], float], replica: Replica, leads: Callable[[], bool],
         workers: WorkerClient, peers: PeerProxy, cloud: CloudClient,
     ) -> None:  # fmt: skip
         self._times = times
@@ -64,7 +64,7 @@
         self._witnesses = witnesses
         previous, self._candidates = self._candidates, {}
         for row in machines:
-            since = now - row.ago_s - c.PROBE_S  # the message may have taken up to `PROBE_S`
+            since = now - row.ago_s - c.PROBE_TIMEOUT_S  # the message may have taken up to `PROBE_TIMEOUT_S`
             known = previous.get(row.machine)
             self._candidates[row.machine] = _ReturnCandidate(
                 row.addr, since if known is None else min(since, known.since)
@@ -91,7 +91,7 @@
         now = self._clock()
         due_s, most_s = return_after_s(self._times), self._times.cancel_s
         due = [name for name, machine in self._candidates.items() if due_s < now - machine.since <= most_s]
-        due = sorted(due)[: c.RELEASE_MOST]
+        due = sorted(due)[: c.MAX_NAMES_PER_RELEASE]
         if not due:
             return
         witness_reached = await self._peers.reaches_any(self._witnesses)
@@ -99,14 +99,16 @@
             for name in due:
                 nursery.start_soon(self._probe, self._candidates[name], witness_reached)
         silent = [
-            name for name in due if name in self._candidates and self._candidates[name].unanswered >= c.SILENT_PROBES
+            name
+            for name in due
+            if name in self._candidates and self._candidates[name].unanswered >= c.MAX_UNANSWERED_PROBES
         ]
         if silent and self._leaderless():
             await self._release(silent)
 
     async def _probe(self, machine: _ReturnCandidate, witness_reached: bool) -> None:
         """Inspect one machine, directly and then through the other controllers, and count failed probes in a row."""
-        with contextlib.suppress(NotSent, Lost):
+        with contextlib.suppress(NotSent, NoUsableResponse):
             await self._workers.inspect(machine.addr)
             machine.unanswered = 0
             return
@@ -121,7 +123,7 @@
         log.info("nobody leads: returning %s to the cloud, silent and perhaps with a cancelled task", ", ".join(names))
         try:
             await self._cloud.release(names)
-        except CloudTrouble as error:
+        except CloudError as error:
             log.info("the cloud did not confirm the return of machines, retrying while nobody leads: %s", error)
             return
         for name in names:
--- a/pepperlatch/controller/leadership.py
+++ b/pepperlatch/controller/leadership.py
@@ -16,7 +16,7 @@
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.state import Away, LeaseGone, StateClient, Unsure
+from pepperlatch.protocol.state import LeaseGone, NotExecuted, OutcomeUnknown, StateClient
 
 log = logging.getLogger(__name__)
 
@@ -44,7 +44,7 @@
         """Return whether the lease cannot have ended yet, so that actions that cannot be undone are allowed."""
         return (
             not self.over
-            and now - self.lease_confirmed_at < c.LEADER_LEASE_MS / 1000 * (1 - c.CLOCK_DRIFT) - c.SURE_MARGIN_S
+            and now - self.lease_confirmed_at < c.LEADER_LEASE_MS / 1000 * (1 - c.CLOCK_DRIFT) - c.LEADER_LEASE_MARGIN_S
         )
 
     def copy_current_at(self) -> float:
@@ -71,7 +71,7 @@
 
     A task that is renewed up to then ends within `cancel_s` of the read. This is G in `docs/safety.md`, section 6.
     """
-    return max(0.0, (cancel_s - lease_s * (1 + c.CLOCK_DRIFT)) * (1 - c.CLOCK_DRIFT) - c.HOLD_MARGIN_S)
+    return max(0.0, (cancel_s - lease_s * (1 + c.CLOCK_DRIFT)) * (1 - c.CLOCK_DRIFT) - c.LEASE_EXTENSION_MARGIN_S)
 
 
 class Leadership:
@@ -103,20 +103,20 @@
         while True:
             try:
                 term = await self._try_to_win()
-            except (Away, Unsure, LeaseGone):
+            except (NotExecuted, OutcomeUnknown, LeaseGone):
                 await trio.sleep(c.STATE_RETRY_S)
                 continue
             if term is None:
                 await trio.sleep(c.STATE_RETRY_S / 2)
                 continue
             self.term = term
-            self._state.share(True)
+            self._state.set_role(True)
             log.info("leading with token %d", term.token)
             on_term(term)
             await self._keep_lease(term)
             term.over = True
             self.term = None
-            self._state.share(False)
+            self._state.set_role(False)
             log.info("no longer leading with token %d", term.token)
             on_term(None)
 
@@ -134,15 +134,15 @@
         if self._replica.leader is not None:
             return None
         sent = self._clock()  # the lease may run from here on, since the answer to its grant may take long
-        lease = await self._state.grant(c.LEADER_LEASE_MS)
+        lease = await self._state.grant_lease(c.LEADER_LEASE_MS)
         write: dict[str, Any] = wire.put(store.LEADER, {"node": self._node}, lease)
         try:
-            outcome = await self._state.txn([wire.when(store.LEADER, 0)], [write], urgent=True)
-        except (Away, Unsure):  # if the write is applied later, nobody would lead until the lease ends
+            outcome = await self._state.txn([wire.version_condition(store.LEADER, 0)], [write], urgent=True)
+        except (NotExecuted, OutcomeUnknown):  # if the write is applied later, nobody would lead until the lease ends
             await self._revoke_lease(lease)
             raise
         if not outcome.applied:
-            await self._state.revoke(lease)
+            await self._state.revoke_lease(lease)
             return None
         return Term(outcome.revision, lease, sent, self.lease_extension_s, replica)
 
@@ -154,14 +154,14 @@
         this request ends no later term.
         """
         log.info("deleting this controller's stale leader key with token %d, so that an election can start", token)
-        await self._state.txn([wire.when(store.LEADER, token)], [wire.delete(store.LEADER)], urgent=True)
+        await self._state.txn([wire.version_condition(store.LEADER, token)], [wire.delete(store.LEADER)], urgent=True)
         await trio.sleep(c.STATE_RETRY_S)  # until the watch shows the deletion
 
     async def _revoke_lease(self, lease: int) -> None:
         """Revoke the lease if the state service answers; else it expires."""
         try:
-            await self._state.revoke(lease)
-        except (Away, Unsure):
+            await self._state.revoke_lease(lease)
+        except (NotExecuted, OutcomeUnknown):
             log.info("leader lease %d could not be revoked; it will expire by itself", lease)
 
     async def _keep_lease(self, term: Term) -> None:
@@ -173,20 +173,20 @@
         async with trio.open_nursery() as nursery:
             while not term.over:
                 nursery.start_soon(self._touch, term)
-                await trio.sleep(c.LEADER_TOUCH_S if self._state.reachable() else c.STATE_RETRY_S)
+                await trio.sleep(c.LEADER_LEASE_RENEW_S if self._state.reachable() else c.STATE_RETRY_S)
             nursery.cancel_scope.cancel()
 
     async def _touch(self, term: Term) -> None:
         """Renew the lease once; end the term if the state service says that the lease has ended."""
         sent = self._clock()
         try:
-            await self._state.touch(term.lease, c.LEADER_LEASE_MS / 1000)
+            await self._state.renew_lease(term.lease, c.LEADER_LEASE_MS / 1000)
             if sent - term.lease_confirmed_at > c.LEADER_LEASE_MS / 1000:
                 term.lease_confirmed_since = sent
             term.lease_confirmed_at = max(term.lease_confirmed_at, sent)
         except LeaseGone:
             term.over = True
-        except (Away, Unsure):
+        except (NotExecuted, OutcomeUnknown):
             return
 
     def check_leader_key(self) -> None:
--- a/pepperlatch/controller/peers.py
+++ b/pepperlatch/controller/peers.py
@@ -12,7 +12,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Request, Response
 from pepperlatch.protocol.wire import Report
 from pepperlatch.protocol.workers import WorkerClient
@@ -67,13 +67,13 @@
             nonlocal conclusive
             try:
                 status, answer = await self._network.request(
-                    peer.addr, "POST", PEER_INSPECT, {"addr": addr, "others": others}, c.PROBE_S * 2.5
+                    peer.addr, "POST", PEER_INSPECT, {"addr": addr, "others": others}, c.PROBE_TIMEOUT_S * 2.5
                 )
                 conclusive += status == 200 or bool(answer.get("reaches", True))
                 if status == 200:
                     found.append(wire.convert(answer, Report))
                     nursery.cancel_scope.cancel()
-            except (NotSent, Lost, msgspec.ValidationError, AttributeError):
+            except (NotSent, NoUsableResponse, msgspec.ValidationError, AttributeError):
                 return
 
         async with trio.open_nursery() as nursery:
@@ -82,22 +82,22 @@
         return (found[0] if found else None), conclusive > 0 or not self._settings.peers
 
     async def fence(self, addr: str, zone: str, token: int, session: int) -> FenceResult:
-        """Have another controller show the leader's token to a worker. Raises Lost if none of FENCE_PEERS succeeds.
+        """Have another controller show the leader's token to a worker. Raises Lost if none of MAX_FENCE_PEERS succeeds.
 
         Controllers in the worker's zone are asked first. The command carries no orders, so a copy that arrives late has
         no effect beyond that of the token itself.
         """
         peers = sorted(self._settings.peers, key=lambda p: p.zone != zone)
-        for peer in peers[: c.FENCE_PEERS]:
+        for peer in peers[: c.MAX_FENCE_PEERS]:
             body = {"addr": addr, "token": token, "session": session}
             try:
-                status, answer = await self._network.request(peer.addr, "POST", PEER_FENCE, body, 2 * c.FENCE_TRY_S)
+                status, answer = await self._network.request(peer.addr, "POST", PEER_FENCE, body, 2 * c.FENCE_TIMEOUT_S)
                 if status == 200:
                     fenced: FenceResult = wire.convert(answer, FenceResult)
                     return fenced
-            except (NotSent, Lost, msgspec.ValidationError):
+            except (NotSent, NoUsableResponse, msgspec.ValidationError):
                 continue
-        raise Lost(f"{addr}: no other controller reached the worker")
+        raise NoUsableResponse(f"{addr}: no other controller reached the worker")
 
     # --- serving requests -------------------------------------------------------------------------
 
@@ -115,11 +115,11 @@
         message = wire.convert(orjson.loads(body), InspectMessage)
         try:
             return Response(200, wire.to_plain(await self._workers.inspect(message.addr)))
-        except (NotSent, Lost) as error:
+        except (NotSent, NoUsableResponse) as error:
             return Response(504, {"error": str(error), "reaches": await self.reaches_any(message.others)})
 
     async def reaches_any(self, others: list[str]) -> bool:
-        """Whether any of the first WITNESS_ASKS of these machines answers this node.
+        """Whether any of the first MAX_WITNESSES of these machines answers this node.
 
         If none does, this node is cut off from them all and its failure to reach some other machine proves nothing.
         """
@@ -127,13 +127,13 @@
 
         async def ask_machine(addr: str) -> None:
             nonlocal reached
-            with contextlib.suppress(NotSent, Lost, SettingsError):
+            with contextlib.suppress(NotSent, NoUsableResponse, SettingsError):
                 await self._workers.inspect(addr)
                 reached = True
                 nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
-            for addr in others[: c.WITNESS_ASKS]:
+            for addr in others[: c.MAX_WITNESSES]:
                 nursery.start_soon(ask_machine, addr)
         return reached
 
@@ -141,8 +141,8 @@
         message = wire.convert(orjson.loads(body), FenceMessage)
         try:
             executed, report = await self._workers.command(
-                message.addr, message.token, message.session, [], c.FENCE_TRY_S
+                message.addr, message.token, message.session, [], c.FENCE_TIMEOUT_S
             )
-        except (NotSent, Lost) as error:
+        except (NotSent, NoUsableResponse) as error:
             return Response(504, {"error": str(error)})
         return Response(200, wire.to_plain(FenceResult(executed, report)))
--- a/pepperlatch/controller/records.py
+++ b/pepperlatch/controller/records.py
@@ -43,10 +43,10 @@
         self._on_recorded(name)
 
     def record_tasks(self, now: float) -> None:
-        """Record jobs whose tasks are all finished, and every `PERSIST_GAP_S` the finished tasks of the others."""
+        """Record jobs whose tasks are all finished, and every `MIN_PERSIST_INTERVAL_S` the finished tasks of the others."""
         if not self._leader_task.cluster.unsaved_jobs:
             return
-        save_partial = now - self._tasks_saved_at >= c.PERSIST_GAP_S
+        save_partial = now - self._tasks_saved_at >= c.MIN_PERSIST_INTERVAL_S
         for job_id in list(self._leader_task.cluster.unsaved_jobs):
             job = self._leader_task.cluster.jobs.get(job_id)
             if job is None or job.over:
@@ -71,7 +71,9 @@
             log.info("job %s done%s", job_id, changed, extra={"job": job_id})
             job.finishing = False
 
-        self._leader_task.writer.add(Write(changes, on_outcome, [wire.when(store.JOB + job_id, job.version)]))
+        self._leader_task.writer.add(
+            Write(changes, on_outcome, [wire.version_condition(store.JOB + job_id, job.version)])
+        )
         self._leader_task.cluster.unsaved_jobs.discard(job_id)
 
     def delete_leftovers(self, job_id: str) -> None:
@@ -93,7 +95,7 @@
         replica = self._leader_task.replica
         task_writes = store.done_task_writes(replica, job.spec.id, job.done, job.saved, limits.value_kb)
         task_writes = task_writes[: self._leader_task.writer.max_deferred_changes()]
-        conditions = [wire.when(task_write.key, task_write.version) for task_write in task_writes]
+        conditions = [wire.version_condition(task_write.key, task_write.version) for task_write in task_writes]
         changes = [wire.put(task_write.key, task_write.value) for task_write in task_writes]
         tasks = set().union(*(task_write.tasks for task_write in task_writes))
 
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -15,7 +15,7 @@
 from pepperlatch.policy.fleet import Offer
 from pepperlatch.policy.model import Machine, Status
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.cloud import CloudClient, CloudTrouble, NoCapacity
+from pepperlatch.protocol.cloud import CloudClient, CloudError, NoCapacity
 
 log = logging.getLogger(__name__)
 
@@ -34,11 +34,11 @@
         self._open_hires: dict[str, set[str]] = {}
 
     def rent(self, now: float) -> None:
-        """Request the machines that the planner wants, the largest requests first, at most `HIRES_AT_ONCE` at once.
+        """Request the machines that the planner wants, the largest requests first, at most `MAX_CONCURRENT_HIRES` at once.
 
         The rest is requested in later calls, together with what is wanted by then.
         """
-        free = c.HIRES_AT_ONCE - len(self._leader_task.planner.requested)
+        free = c.MAX_CONCURRENT_HIRES - len(self._leader_task.planner.requested)
         if free <= 0:
             return
         chosen = Counter(self._leader_task.planner.offers_to_rent(now))
@@ -82,9 +82,9 @@
                 names = await self._cloud.hire(name, record.type, record.zone, record.spot, record.count)
             except NoCapacity:
                 names = None
-            except CloudTrouble as error:
+            except CloudError as error:
                 log.info("hire request %s failed, trying again: %s", name, error)
-                await trio.sleep(c.CLOUD_RETRY_S)
+                await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
                 continue
             break
         self._leader_task.command_loop.enqueue(lambda: self._on_hired(name, offer, record.count, names))
@@ -139,14 +139,14 @@
     # --- types, lists and returns -----------------------------------------------------------------
 
     async def types_loop(self) -> None:
-        """Read machine types and prices every `PRICES_EVERY_S`."""
+        """Read machine types and prices every `PRICE_POLL_INTERVAL_S`."""
         while not self._leader_task.term.over:
             try:
                 types = await self._cloud.types()
                 self._leader_task.command_loop.enqueue(lambda t=types: self._on_types(t))  # type: ignore[misc]
-                await trio.sleep(c.PRICES_EVERY_S)
-            except CloudTrouble:
-                await trio.sleep(c.CLOUD_RETRY_S)
+                await trio.sleep(c.PRICE_POLL_INTERVAL_S)
+            except CloudError:
+                await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
 
     def _on_types(self, types: list[wire.MachineType]) -> None:
         """Take in types and prices; types are recorded for nodes that start while the cloud is unavailable."""
@@ -164,16 +164,16 @@
                 self._leader_task.writer.add(Write([change], lambda ok: None))
 
     async def list_loop(self) -> None:
-        """Read the list of rented machines every `CLOUD_LIST_EVERY_S`."""
+        """Read the list of rented machines every `CLOUD_LIST_INTERVAL_S`."""
         while not self._leader_task.term.over:
             try:
                 listed = await self._cloud.machines()
                 self._leader_task.command_loop.enqueue(lambda x=listed: self._on_list(x))  # type: ignore[misc]
-            except CloudTrouble as error:
+            except CloudError as error:
                 log.info("reading the cloud's list of machines failed, trying again: %s", error)
-            await trio.sleep(c.CLOUD_LIST_EVERY_S)
+            await trio.sleep(c.CLOUD_LIST_INTERVAL_S)
 
-    def _on_list(self, listed: list[wire.Listed]) -> None:
+    def _on_list(self, listed: list[wire.ListedMachine]) -> None:
         """Take in the cloud's list: add unknown machines, release failed ones and those that vanish while booting."""
         now = self._leader_task.clock()
         names = {item.name for item in listed}
@@ -191,9 +191,9 @@
                 machine.listed = True
                 if machine.status is Status.BOOTING:  # a repeated hire or a report does not tell its age
                     machine.created_at = min(machine.created_at, now - item.age_s)
-                if item.state == wire.FAILED:
+                if item.state == wire.LISTED_FAILED:
                     self._leader_task.cluster.release(machine, "failed")
-        lag_s = self._leader_task.settings.params.cloud.list_lag_s * c.LIST_LAG_TIMES + c.CLOUD_LIST_EVERY_S
+        lag_s = self._leader_task.settings.params.cloud.list_lag_s * c.LIST_LAG_FACTOR + c.CLOUD_LIST_INTERVAL_S
         for machine in list(self._leader_task.cluster.machines.values()):
             if (
                 machine.name not in names
@@ -206,7 +206,7 @@
         """Return released machines while the lease is valid; a request without an answer delays those behind it."""
         while not self._leader_task.term.over:
             await trio.sleep(c.TICK_S / 5)
-            names = sorted(self._leader_task.cluster.to_release)[: c.RELEASE_MOST]
+            names = sorted(self._leader_task.cluster.to_release)[: c.MAX_NAMES_PER_RELEASE]
             if names and self._leader_task.term.lease_valid(self._leader_task.clock()):
                 await self._release(names)
 
@@ -220,7 +220,7 @@
             await trio.sleep(c.TICK_S / 5)
             machines = self._leader_task.cluster.machines
             names = [name for name in self._leader_task.cluster.to_release if name in machines]
-            urgent = sorted(name for name in names if not machines[name].return_needs_lease)[: c.RELEASE_MOST]
+            urgent = sorted(name for name in names if not machines[name].return_needs_lease)[: c.MAX_NAMES_PER_RELEASE]
             if urgent:
                 await self._release(urgent)
 
@@ -231,9 +231,9 @@
             await self._cloud.release(names)
             self._leader_task.command_loop.enqueue(lambda: self._on_released(names))
             self._leader_task.cluster.to_release.difference_update(names)
-        except CloudTrouble as error:
+        except CloudError as error:
             log.info("returning machines to the cloud failed, trying again: %s", error)
-            await trio.sleep(c.CLOUD_RETRY_S)
+            await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
 
     def _on_released(self, names: list[str]) -> None:
         now = self._leader_task.clock()
--- a/pepperlatch/controller/store.py
+++ b/pepperlatch/controller/store.py
@@ -28,7 +28,7 @@
 from pepperlatch.constants import core as c
 from pepperlatch.policy.prerequisites import Prerequisites, Urgency
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.state import Away, StateClient, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown, StateClient
 
 WATCHED = "j/"
 LEADER = "j/leader"
@@ -43,7 +43,7 @@
 HIRE = "f/hire/"
 MACHINE = "f/machine/"
 
-_JOB_ID = re.compile(wire.JOB_ID)
+_JOB_ID = re.compile(wire.JOB_ID_PATTERN)
 
 
 def is_job_id(text: object) -> bool:
@@ -218,7 +218,7 @@
     def _remember_cancelled(self, cancellation: Cancellation) -> None:
         self._cancelled.append(cancellation)
         self._cancelled_by_job.setdefault(cancellation.job_id, cancellation)
-        if len(self._cancelled) > c.VOUCH_KEPT:
+        if len(self._cancelled) > c.MAX_CANCELLATIONS_REMEMBERED:
             left_out = self._cancelled.popleft()
             self._cancelled_by_job.pop(left_out.job_id, None)
             self._cancelled_complete_after_version = max(self._cancelled_complete_after_version, left_out.version)
@@ -312,7 +312,9 @@
     def waiting_for_others(self) -> int:
         """Return how many unfinished jobs wait for others that they need."""
         return sum(
-            1 for job in self.prerequisites.needs if self.jobs[job].state not in wire.FINAL and not self.ready(job)
+            1
+            for job in self.prerequisites.needs
+            if self.jobs[job].state not in wire.FINAL_JOB_STATES and not self.ready(job)
         )
 
     def done_tasks(self, job_id: str) -> set[int]:
@@ -340,7 +342,7 @@
 
 def _own_standing(spec: wire.JobSpec, at: float) -> Urgency:
     """Return how urgent the job is by itself, if it was submitted at `at` (time of day)."""
-    return Urgency(wire.RANK[spec.priority], at + spec.deadline_s if spec.deadline_s else math.inf)
+    return Urgency(wire.PRIORITY_RANK[spec.priority], at + spec.deadline_s if spec.deadline_s else math.inf)
 
 
 def compact(pair: wire.KeyValue) -> wire.KeyValue:
@@ -359,7 +361,7 @@
 
 def fits_value(value: Any, value_kb: float) -> bool:
     """Return whether the encoded value fits into the state service's limit of `value_kb` KiB, with some slack."""
-    return len(orjson.dumps(value)) <= value_kb * 1024 - c.VALUE_SLACK_BYTES
+    return len(orjson.dumps(value)) <= value_kb * 1024 - c.VALUE_OVERHEAD_BYTES
 
 
 def split_text(text: str, size: int) -> list[str]:
@@ -370,10 +372,10 @@
 def description_parts(spec: wire.JobSpec, value_kb: float) -> list[str]:
     """Return the description as text in pieces that each fit one value; none if the job's own record can hold it."""
     plain = orjson.dumps(wire.to_plain(spec))
-    if len(plain) <= value_kb * 1024 - c.RECORD_BYTES:
+    if len(plain) <= value_kb * 1024 - c.JOB_RECORD_OVERHEAD_BYTES:
         return []
     text = base64.b64encode(plain).decode("ascii")
-    return split_text(text, int(value_kb * 1024) - c.VALUE_SLACK_BYTES)
+    return split_text(text, int(value_kb * 1024) - c.VALUE_OVERHEAD_BYTES)
 
 
 def joined_description(parts: dict[int, str], count: int) -> wire.JobSpec | None:
@@ -501,8 +503,8 @@
                     await self._reload()
                 if not await self._read(c.WATCH_WAIT_MS):
                     await self._reload()
-                await trio.sleep(c.WATCH_GAP_S)
-            except (Away, Unsure):
+                await trio.sleep(c.MIN_WATCH_INTERVAL_S)
+            except (NotExecuted, OutcomeUnknown):
                 await trio.sleep(c.STATE_RETRY_S)
 
     async def _read(self, wait_ms: int) -> bool:
@@ -532,25 +534,25 @@
     async def sync(self) -> None:
         """Return once the replica holds all that was written before this call.
 
-        Raises Away if the state service is unreachable or does not answer within `SYNC_WAIT_S`.
+        Raises NotExecuted if the state service is unreachable or does not answer within `SYNC_TIMEOUT_S`.
         """
         if not self.replica.loaded or not self._state.reachable():
-            raise Away("no current reading of the state service")
+            raise NotExecuted("no current reading of the state service")
         reading = _PendingSync()
         self._pending_syncs.append(reading)
         self._sync_requested.set()
-        with trio.move_on_after(c.SYNC_WAIT_S):
+        with trio.move_on_after(c.SYNC_TIMEOUT_S):
             await reading.finished.wait()
         if not reading.succeeded:
-            raise Away("no current reading of the state service")
+            raise NotExecuted("no current reading of the state service")
 
     async def serve_syncs(self) -> None:
         """Run reads for callers of `sync` until cancelled, each for all callers that wait when it starts.
 
-        A slow read does not block later callers, since up to `SYNCS_AT_ONCE` reads are in flight.
+        A slow read does not block later callers, since up to `MAX_CONCURRENT_SYNCS` reads are in flight.
         """
         async with trio.open_nursery() as nursery:
-            in_flight = trio.CapacityLimiter(c.SYNCS_AT_ONCE)
+            in_flight = trio.CapacityLimiter(c.MAX_CONCURRENT_SYNCS)
             while True:
                 await self._sync_requested.wait()
                 token = object()
@@ -558,15 +560,15 @@
                 self._sync_requested = trio.Event()
                 batch, self._pending_syncs = self._pending_syncs, []
                 nursery.start_soon(self._serve_batch, batch, in_flight, token)
-                with trio.move_on_after(c.SYNC_SLOW_S):  # fast reads follow one another
+                with trio.move_on_after(c.SLOW_SYNC_S):  # fast reads follow one another
                     await batch[0].finished.wait()
-                await trio.sleep(c.SYNC_GAP_S)
+                await trio.sleep(c.MIN_SYNC_INTERVAL_S)
 
     async def _serve_batch(self, batch: list[_PendingSync], in_flight: trio.CapacityLimiter, token: object) -> None:
         succeeded = False
         try:
             succeeded = await self._read(0)
-        except (Away, Unsure):
+        except (NotExecuted, OutcomeUnknown):
             pass
         finally:
             in_flight.release_on_behalf_of(token)
@@ -578,10 +580,10 @@
         """Keep the proof that the copy is current at most about as old as the leader lease's, while `needed()` is true.
 
         A watch without changes proves nothing until its long poll returns, so this reads when the last proof is older
-        than `PULSE_S`. While users' polls cause reads all the time, it reads nothing.
+        than `FRESHNESS_CHECK_INTERVAL_S`. While users' polls cause reads all the time, it reads nothing.
         """
         while True:
-            await trio.sleep(c.PULSE_S)
-            if needed() and trio.current_time() - self.replica.current_at >= c.PULSE_S:
-                with contextlib.suppress(Away):
+            await trio.sleep(c.FRESHNESS_CHECK_INTERVAL_S)
+            if needed() and trio.current_time() - self.replica.current_at >= c.FRESHNESS_CHECK_INTERVAL_S:
+                with contextlib.suppress(NotExecuted):
                     await self.sync()
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -24,7 +24,7 @@
 from pepperlatch.policy.reasons import Reason, Why
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
-from pepperlatch.protocol.state import Away, Outcome, Refused, StateClient, Unsure
+from pepperlatch.protocol.state import NotExecuted, Outcome, OutcomeUnknown, Rejected, StateClient
 from pepperlatch.protocol.wire import JobSpec, JobState, Kind, MachineType
 from pepperlatch.settings import Settings
 
@@ -116,10 +116,10 @@
         raise Unsatisfiable(beyond)
     fitting = [t for t in types if fits_type(spec, t) and (spec.types is None or t.name in spec.types)]
     if not fitting:
-        allowed = "any" if spec.types is None else ", ".join(spec.types[: c.NAMES_SHOWN])
+        allowed = "any" if spec.types is None else ", ".join(spec.types[: c.MAX_NAMES_SHOWN])
         raise Unsatisfiable(f"a task of {reasons.each(spec)} fits no allowed machine type ({allowed})")
     if spec.zone is not None and not any(spec.zone in t.zones for t in fitting):
-        raise Unsatisfiable(f"no machine type that a task fits exists in zone {spec.zone[: c.NAME_SHOWN]}")
+        raise Unsatisfiable(f"no machine type that a task fits exists in zone {spec.zone[: c.MAX_NAME_CHARS_SHOWN]}")
     if spec.spread and spec.tasks > 1 and spec.kind is not Kind.ARRAY:  # they run at once, at most half in one zone
         zones = {zone for t in fitting for zone in t.zones if spec.zone in (None, zone)}
         if spec.one_zone or len(zones) < 2:
@@ -132,7 +132,7 @@
     None if the records give no reason.
     """
     entry = replica.jobs[job_id]
-    if entry.state in wire.FINAL:
+    if entry.state in wire.FINAL_JOB_STATES:
         through = entry.through
         return None if through is None or through == job_id else Reason(Why.NEED_CANCELLED, names=(through,))
     waits_for = replica.prerequisites.unmet_needs(job_id)
@@ -170,16 +170,16 @@
         """Serve a request below wire.JOBS; 404 for any other path."""
         path = request.path.partition("?")[0]
         try:
-            if path == wire.JOBS and request.method == "POST":
+            if path == wire.JOBS_PATH and request.method == "POST":
                 return await self.submit(request.body)
-            prefix, _, rest = path.partition(wire.JOBS + "/")
+            prefix, _, rest = path.partition(wire.JOBS_PATH + "/")
             if prefix == "" and rest:
                 job_id, _, verb = rest.partition("/")
-                if verb == wire.CANCEL and request.method == "POST":
+                if verb == wire.CANCEL_SUBPATH and request.method == "POST":
                     return await self.cancel(job_id)
                 if verb == "" and request.method == "GET":
                     return await self.poll(job_id)
-        except (Away, Unsure):
+        except (NotExecuted, OutcomeUnknown):
             return retry_later()
         return Response(404, {"error": "no such path"})
 
@@ -222,8 +222,12 @@
         for name in needs:
             entry = self._replica.jobs.get(name)
             if entry is None:
-                return f"{name[: c.NAME_SHOWN]}, which it needs, was never accepted"
-            if entry.state not in wire.FINAL and entry.record.spec and entry.record.spec.kind is Kind.SERVICE:
+                return f"{name[: c.MAX_NAME_CHARS_SHOWN]}, which it needs, was never accepted"
+            if (
+                entry.state not in wire.FINAL_JOB_STATES
+                and entry.record.spec
+                and entry.record.spec.kind is Kind.SERVICE
+            ):
                 return f"{name}, which it needs, is a service and never done"
         return None
 
@@ -235,7 +239,7 @@
         spec = check_job(value)
         limits = self._settings.params.state
         parts = store.description_parts(spec, limits.value_kb)
-        if len(parts) >= limits.txn_ops or sum(map(len, parts)) > c.TXN_BYTES:
+        if len(parts) >= limits.txn_ops or sum(map(len, parts)) > c.MAX_TXN_BYTES:
             raise Malformed("the description is longer than what is stored at once")
         types = self._replica.types or self.types
         if not types:
@@ -252,21 +256,21 @@
             return None
         assert isinstance(job_id, str)
         entry = self._replica.jobs.get(job_id)
-        if entry is None or entry.state not in wire.FINAL:
+        if entry is None or entry.state not in wire.FINAL_JOB_STATES:
             await self._watcher.sync()
             entry = self._replica.jobs.get(job_id)
         return Response(200, self.describe(job_id, entry)) if entry is not None else None
 
     async def _create(self, spec: JobSpec) -> Response:
-        """Queue the job for `create_loop` and wait for the outcome, at most SUBMIT_WAIT_S."""
-        if len(self._queue) >= self._state.writes_within(c.SUBMIT_WAIT_S):  # it would not be written in time
+        """Queue the job for `create_loop` and wait for the outcome, at most SUBMIT_TIMEOUT_S."""
+        if len(self._queue) >= self._state.writes_within(c.SUBMIT_TIMEOUT_S):  # it would not be written in time
             return retry_later()
         parts = store.description_parts(spec, self._settings.params.state.value_kb)
         submission = self._queue.setdefault(
             spec.id, _Submission(spec, parts=parts)
         )  # if two are in flight, one conflicts
         self._wake.set()
-        with trio.move_on_after(c.SUBMIT_WAIT_S):
+        with trio.move_on_after(c.SUBMIT_TIMEOUT_S):
             await submission.settled.wait()
         if submission.created is None:
             return retry_later()
@@ -277,10 +281,10 @@
     async def create_loop(self) -> None:
         """Commit queued submissions in batches, until cancelled.
 
-        CREATES_AT_ONCE transactions may be in flight, so that a slow one delays few submissions.
+        MAX_CONCURRENT_SUBMIT_TXNS transactions may be in flight, so that a slow one delays few submissions.
         """
         async with trio.open_nursery() as nursery:
-            in_flight = trio.CapacityLimiter(c.CREATES_AT_ONCE)
+            in_flight = trio.CapacityLimiter(c.MAX_CONCURRENT_SUBMIT_TXNS)
             while True:
                 if not self._queue:
                     self._wake = trio.Event()
@@ -295,8 +299,12 @@
         changes = size = 0
         for submission in self._queue.values():
             changes += 1 + len(submission.parts)
-            size += c.RECORD_BYTES + sum(map(len, submission.parts)) + len(orjson.dumps(wire.to_plain(submission.spec)))
-            if batch and (changes > self._settings.params.state.txn_ops or size > c.TXN_BYTES):
+            size += (
+                c.JOB_RECORD_OVERHEAD_BYTES
+                + sum(map(len, submission.parts))
+                + len(orjson.dumps(wire.to_plain(submission.spec)))
+            )
+            if batch and (changes > self._settings.params.state.txn_ops or size > c.MAX_TXN_BYTES):
                 break
             batch.append(submission)
         for submission in batch:
@@ -317,15 +325,15 @@
             keys = [store.JOB + s.spec.id for s in batch]
             writes = [change for s in batch for change in s.changes(self._wall())]
             try:
-                outcome = await self._create_with_retry([wire.when(key, 0) for key in keys], writes)
-            except Refused as error:
+                outcome = await self._create_with_retry([wire.version_condition(key, 0) for key in keys], writes)
+            except Rejected as error:
                 if len(batch) == 1:
                     log.error("%s is refused by the state service, the job is not created: %s", keys[0], error)
                     return
                 for submission in batch:  # the faulty one must not make the others fail
                     await self._commit([submission])
                 return
-            except (Away, Unsure) as error:
+            except (NotExecuted, OutcomeUnknown) as error:
                 log.debug("submissions not stored, their users are asked to retry: %s", error)
                 return
             if outcome.applied:
@@ -343,8 +351,8 @@
         If the first try was applied after all, the second finds the ids known, which is harmless.
         """
         try:
-            return await self._state.txn(conditions, writes, seconds=c.CREATE_TRY_S)
-        except Unsure:
+            return await self._state.txn(conditions, writes, seconds=c.SUBMIT_TXN_TIMEOUT_S)
+        except OutcomeUnknown:
             return await self._state.txn(conditions, writes)
 
     # --- looking up and cancelling ----------------------------------------------------------------
@@ -352,7 +360,7 @@
     def describe(self, job_id: str, entry: JobEntry) -> dict[str, Any]:
         """The answer to a poll, from this node's copy as it stands. Also used by pipelines."""
         tasks = entry.record.tasks
-        if entry.state in wire.FINAL:
+        if entry.state in wire.FINAL_JOB_STATES:
             answer = wire.job_answer(job_id, entry.state, tasks if entry.state is JobState.DONE else 0, 0)
             if (reason := recorded_reason(self._replica, job_id)) is not None:
                 answer["reason"] = reason.text()
@@ -379,21 +387,23 @@
     async def cancel(self, job_id: str) -> Response:
         """Cancel the job; the user is told so only once the state service holds it. A job already done stays done.
 
-        Gives up after SUBMIT_WAIT_S with 503; the cancellation may have been stored by then.
+        Gives up after SUBMIT_TIMEOUT_S with 503; the cancellation may have been stored by then.
         """
         if not store.is_job_id(job_id):
             return Response(404, {"error": "no such job"})
-        with trio.move_on_after(c.SUBMIT_WAIT_S):
+        with trio.move_on_after(c.SUBMIT_TIMEOUT_S):
             while True:
                 await self._watcher.sync()
                 entry = self._replica.jobs.get(job_id)
                 if entry is None:
                     return Response(404, {"error": "no such job"})
-                if entry.state in wire.FINAL:
+                if entry.state in wire.FINAL_JOB_STATES:
                     return Response(200, wire.job_answer(job_id, entry.state))
                 record = store.cancelled_record(entry.record, self._settings.params.state.value_kb, self._wall())
                 key = store.JOB + job_id
-                outcome = await self._state.txn([wire.when(key, entry.version)], [wire.put(key, wire.to_plain(record))])
+                outcome = await self._state.txn(
+                    [wire.version_condition(key, entry.version)], [wire.put(key, wire.to_plain(record))]
+                )
                 if outcome.applied:  # learn it before the user is told: peers rely on what this node knows
                     self._watcher.learn([(job_id, record, outcome.revision)])
                     await self._notify_cancelled(job_id, record, outcome.revision)
--- a/pepperlatch/controller/writer.py
+++ b/pepperlatch/controller/writer.py
@@ -19,7 +19,7 @@
 from pepperlatch.controller import store
 from pepperlatch.controller.leadership import Term
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.state import Away, LeaseGone, Refused, StateClient, Unsure
+from pepperlatch.protocol.state import LeaseGone, NotExecuted, OutcomeUnknown, Rejected, StateClient
 
 log = logging.getLogger(__name__)
 
@@ -54,7 +54,7 @@
 
     def max_deferred_changes(self) -> int:
         """Return the largest number of changes that a deferred write may have."""
-        return min(self._max_changes, self._state.later_most())
+        return min(self._max_changes, self._state.max_background_changes())
 
     def add(self, write: Write, deferred: bool = False) -> None:
         """Queue a write. A `deferred` one, for which nobody waits, is left until the budget exceeds others' needs."""
@@ -75,22 +75,22 @@
                 continue
             try:
                 await self._commit(batch)
-            except Refused as error:
+            except Rejected as error:
                 self._on_refused(batch, error)
-            except (Away, Unsure, LeaseGone) as error:
+            except (NotExecuted, OutcomeUnknown, LeaseGone) as error:
                 log.debug("state service did not confirm a write, retrying: %s", error)
-                self._outcome_unknown = isinstance(error, Unsure)
+                self._outcome_unknown = isinstance(error, OutcomeUnknown)
                 self._queue.extendleft(reversed(batch))
                 await trio.sleep(c.STATE_RETRY_S)
 
     async def _wait_for_work(self) -> None:
         """Wait for a new write, or until a deferred or refused one may have to be looked at again."""
         self._wake = trio.Event()
-        with trio.move_on_after(c.LATER_PAUSE_S if self._deferred else c.REFUSED_PAUSE_S):
+        with trio.move_on_after(c.BACKGROUND_WRITE_RETRY_S if self._deferred else c.REFUSED_WRITE_RETRY_S):
             await self._wake.wait()
 
-    def _on_refused(self, batch: list[Write], error: Refused) -> None:
-        """Retry the writes of a refused batch one by one; set a single refused write aside for `REFUSED_PAUSE_S`."""
+    def _on_refused(self, batch: list[Write], error: Rejected) -> None:
+        """Retry the writes of a refused batch one by one; set a single refused write aside for `REFUSED_WRITE_RETRY_S`."""
         if len(batch) > 1:
             self._queue.extendleft(reversed([_as_single(write) for write in batch]))
             return
@@ -99,13 +99,13 @@
             wire.written_key(batch[0].changes[0]),
             error,
         )
-        self._refused.append((trio.current_time() + c.REFUSED_PAUSE_S, batch[0]))
+        self._refused.append((trio.current_time() + c.REFUSED_WRITE_RETRY_S, batch[0]))
 
     def _next_batch(self) -> list[Write]:
         """Take whole writes from the queues while they fit into one transaction, at least one if any may be written."""
         batch: list[Write] = []
         changes = conditions = size = 0
-        spare = self._state.writes_spare()
+        spare = self._state.spare_writes()
         while self._queue or self._deferred:
             source = self._queue or self._deferred
             write = source[0]
@@ -116,8 +116,8 @@
             size += len(orjson.dumps(write.changes))
             over = (
                 changes > self._max_changes
-                or conditions + 2 > c.TXN_CONDITIONS * self._max_changes
-                or size > c.TXN_BYTES
+                or conditions + 2 > c.MAX_TXN_CONDITIONS_PER_CHANGE * self._max_changes
+                or size > c.MAX_TXN_BYTES
             )
             if batch and (over or write.alone or batch[0].alone):
                 break
@@ -126,7 +126,10 @@
 
     def _leader_conditions(self) -> list[dict[str, Any]]:
         """Return the conditions that this node leads and that the write fence has not been advanced."""
-        return [wire.when(store.LEADER, self._term.token), wire.when(store.WRITE_FENCE, self.fence_version)]
+        return [
+            wire.version_condition(store.LEADER, self._term.token),
+            wire.version_condition(store.WRITE_FENCE, self.fence_version),
+        ]
 
     async def _advance_fence(self) -> bool:
         """Write the fence anew; return whether no earlier transaction can be applied any more."""
@@ -141,7 +144,7 @@
             else:  # an earlier try had no answer, but was applied
                 held = await self._state.read(store.WRITE_FENCE)
                 self.fence_version = held.version if held is not None else 0
-        except (Away, Unsure, LeaseGone) as error:
+        except (NotExecuted, OutcomeUnknown, LeaseGone) as error:
             log.debug("write fence not advanced, retrying: %s", error)
             return False
         self._outcome_unknown = False
--- a/pepperlatch/pipelines/scheduler.py
+++ b/pepperlatch/pipelines/scheduler.py
@@ -65,7 +65,7 @@
     async def _list(self) -> Response:
         _, pairs = await self._state.read_all(keys.CRON)
         rows = [self._row(pair.key[len(keys.CRON) :], wire.convert(pair.value, ScheduleRecord)) for pair in pairs]
-        return Response(200, {"schedules": rows[: c.STEPS_PAGE], "total": len(rows)})
+        return Response(200, {"schedules": rows[: c.STEPS_PER_PAGE], "total": len(rows)})
 
     def _row(self, name: str, record: ScheduleRecord) -> dict[str, Any]:
         after = max(record.after, self._wall()) if record.missed == "skip" else record.after
@@ -119,7 +119,10 @@
     # --- what is due ------------------------------------------------------------------------------
 
     async def run_due(self, marks: Sequence[wire.KeyValue]) -> None:
-        """The leader's; Away or Unsure if the state service does not answer: the next look goes on from there."""
+        """The leader's.
+
+        Raises NotExecuted or OutcomeUnknown if the state service does not answer: the next look goes on from there.
+        """
         for pair in marks:
             if pair.key.startswith(keys.CRON):
                 record = wire.convert(pair.value, ScheduleRecord)
--- a/pepperlatch/policy/cancellations.py
+++ b/pepperlatch/policy/cancellations.py
@@ -14,7 +14,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.policy.model import Machine
-from pepperlatch.settings import Workers
+from pepperlatch.settings import WorkerTimings
 
 
 class CancelledOn(msgspec.Struct, array_like=True):
@@ -47,24 +47,26 @@
     kept_zones: set[str]  # zones that seem cut off, whose machines are kept
 
 
-def return_after_s(workers: Workers) -> float:
+def return_after_s(workers: WorkerTimings) -> float:
     """Seconds after a cancellation from which on the return of a silent machine that may hold a task is requested.
 
     Leaves time for the case that the leader ends at that very moment and its successor's first request gets no answer.
     """
-    successor_s = c.LEADER_LEASE_MS / 1000 + c.ELECTION_S
-    asking_s = c.SILENT_PROBES * (c.PROBE_S + c.TICK_S) + c.PROBE_S  # directly, then through other controllers as well
-    lost_request_s = c.CLOUD_REQUEST_S + c.CLOUD_RETRY_S
+    successor_s = c.LEADER_LEASE_MS / 1000 + c.TAKEOVER_S
+    asking_s = (
+        c.MAX_UNANSWERED_PROBES * (c.PROBE_TIMEOUT_S + c.TICK_S) + c.PROBE_TIMEOUT_S
+    )  # directly, then through other controllers as well
+    lost_request_s = c.CLOUD_REQUEST_TIMEOUT_S + c.CLOUD_RETRY_PAUSE_S
     takes_s = successor_s + _silence_s(workers) + asking_s + lost_request_s + c.RETURN_CONFIRM_S + c.TICK_S
     return max(0.0, workers.cancel_s - takes_s)
 
 
-def _silence_s(workers: Workers) -> float:
+def _silence_s(workers: WorkerTimings) -> float:
     """Seconds without a report after which a machine counts as silent."""
     return c.SILENT_REPORTS * workers.report_s
 
 
-def decide(machine: Machine, since: float, view: LeaderView, workers: Workers, now: float) -> Decision:
+def decide(machine: Machine, since: float, view: LeaderView, workers: WorkerTimings, now: float) -> Decision:
     """Decide about a silent machine; the leader's health checks call this in each round.
 
     `since`: when a job that may have a task on the machine was cancelled; infinite if there is none.
@@ -81,7 +83,7 @@
     silent_since = max(machine.last_report_at, view.started) + _silence_s(workers)
     if now <= silent_since or now - since <= return_after_s(workers):
         return Decision.WAIT
-    if machine.probes + machine.isolated_probes < (1 if machine.last_report_at < 0 else c.SILENT_PROBES):
+    if machine.probes + machine.isolated_probes < (1 if machine.last_report_at < 0 else c.MAX_UNANSWERED_PROBES):
         return Decision.ASK
     if view.sure:
         return Decision.RETURN
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -179,10 +179,10 @@
         of them it is cut off itself, and its failure says nothing about the silent machine.
         """
         up = (m for m in self.machines.values() if m.status is Status.UP and m.last_report_at >= 0)
-        return [m.addr for m in heapq.nlargest(c.WITNESS_ASKS, up, key=lambda m: (m.last_report_at, m.name))]
+        return [m.addr for m in heapq.nlargest(c.MAX_WITNESSES, up, key=lambda m: (m.last_report_at, m.name))]
 
     def machines_with_cancelled_tasks(self, now: float) -> list[CancelledOn]:
-        """The machines that may hold a task of a cancelled job, the longest silent first; at most CANCELLED_TOLD_MOST.
+        """The machines that may hold a task of a cancelled job, the longest silent first; at most MAX_CANCELLED_MACHINES_SENT.
 
         Sent to the other controllers with each contact, so that they can act while nobody leads.
         """
@@ -190,7 +190,7 @@
         found = [(m, self.cancelled_since(m, unverified_cancelled_since)) for m in self.machines.values() if m.addr]
         found = [(machine, since) for machine, since in found if math.isfinite(since)]
         found.sort(key=lambda row: (row[0].last_report_at, row[0].name))
-        return [CancelledOn(m.name, m.addr, now - since) for m, since in found[: c.CANCELLED_TOLD_MOST]]
+        return [CancelledOn(m.name, m.addr, now - since) for m, since in found[: c.MAX_CANCELLED_MACHINES_SENT]]
 
     def explain(self, job: Job, reason: Reason, now: float) -> None:
         """Set the stated reason of the job's wait, and notify the listener if its kind changed."""
@@ -204,7 +204,7 @@
     def new_number(self) -> int:
         """A new attempt number: higher than all of this term and, by the token in its high bits, of earlier terms."""
         self._last_number += 1
-        return (self.token << c.ATTEMPT_SHIFT) + self._last_number
+        return (self.token << c.ATTEMPT_NUMBER_BITS) + self._last_number
 
     def place(self, job: Job, task: int, machine: Machine, now: float, number: int | None = None) -> Attempt:
         """Plan a launch of the task. It counts against the machine's room and the team's limit from here on.
@@ -383,7 +383,7 @@
             arrived = report.session == machine.session and not shown.isdisjoint(machine.offered_launches[1])
             machine.lost_answers = 0 if arrived else machine.lost_answers + 1
             machine.offered_launches = None
-            if machine.lost_answers == c.UNHEARD_MOST:
+            if machine.lost_answers == c.MAX_LOST_LAUNCH_ANSWERS:
                 log.info(
                     "machine %s reports but did not receive our last launches; it gets no new tasks until it does",
                     machine.name, extra={"machine": machine.name},
@@ -510,7 +510,7 @@
             attempt.phase = Phase.PLANNED
             if not attempt.wanted:
                 self._lose(attempt, now, attempt.stop_reason)
-            elif machine.lost_answers >= c.UNHEARD_MOST:
+            elif machine.lost_answers >= c.MAX_LOST_LAUNCH_ANSWERS:
                 self._lose(attempt, now, "its machine does not hear us")
             self.machines_to_command.add(machine)
 
@@ -551,14 +551,15 @@
         if attempt is not None:
             log.info(
                 "task %s try %d on %s exited: %s",
-                task.task, task.attempt, machine.name, task.why.value if task.why else "",
+                task.task, task.attempt, machine.name,
+                task.end_cause.value if task.end_cause else "",
                 extra=_log_fields(attempt),
             )  # fmt: skip
-            cause = task.why.value if task.why else "ended"
-            self._remove(attempt, now, (task.why is Cause.STOPPED and attempt.stop_reason) or cause)
-        if attempt is not None and attempt.sent_seq < 0 and task.why is not Cause.DONE:
-            machine.reap_not_before[(task.task, task.attempt)] = now + c.COPIES_S
-        if parts and job is not None and task.why is Cause.DONE:
+            cause = task.end_cause.value if task.end_cause else "ended"
+            self._remove(attempt, now, (task.end_cause is Cause.STOPPED and attempt.stop_reason) or cause)
+        if attempt is not None and attempt.sent_seq < 0 and task.end_cause is not Cause.DONE:
+            machine.reap_not_before[(task.task, task.attempt)] = now + c.DUPLICATE_LAUNCH_WINDOW_S
+        if parts and job is not None and task.end_cause is Cause.DONE:
             self._finished(job, parts[1], attempt, now)
         if attempt is not None:
             self._count_result(machine, attempt, task, now)
@@ -580,7 +581,7 @@
             attempt.machine.failed_tasks.clear()
             if job.spec.estimate_s > 0:
                 attempt.machine.pace.append((now - attempt.running_at) / job.spec.estimate_s)
-                del attempt.machine.pace[: -2 * c.SLOW_SAMPLES]
+                del attempt.machine.pace[: -2 * c.SLOW_MACHINE_SAMPLES]
 
     def _count_result(self, machine: Machine, attempt: Attempt, task: TaskReport, now: float) -> None:
         """Count a task's error against its machine, or against the job once it failed on several machines.
@@ -589,17 +590,17 @@
         that the worker could not start pauses its job for JOB_BACKOFF_S seconds.
         """
         job = attempt.job
-        if task.why is Cause.ERROR:
-            if now - machine.failed_at > c.ERROR_WINDOW_S:
+        if task.end_cause is Cause.ERROR:
+            if now - machine.failed_at > c.MACHINE_ERROR_WINDOW_S:
                 machine.failed_tasks.clear()
             machine.failed_at = now
             job.failed_on.add(machine.name)
-            if len(job.failed_on) < c.JOB_ERROR_MACHINES:
+            if len(job.failed_on) < c.FAULTY_JOB_MACHINES:
                 machine.failed_tasks.add(task.task)
             else:
-                job.pause_s = min(c.JOB_BACKOFF_MOST_S, max(c.JOB_BACKOFF_S, job.pause_s * 2))
+                job.pause_s = min(c.MAX_JOB_BACKOFF_S, max(c.JOB_BACKOFF_S, job.pause_s * 2))
                 job.not_before = now + job.pause_s
-            if len(machine.failed_tasks) >= c.ERROR_TASKS and not machine.quarantined:
+            if len(machine.failed_tasks) >= c.QUARANTINE_FAILED_TASKS and not machine.quarantined:
                 machine.quarantined = True
                 self.listener.machine(machine, "quarantined", "two tasks failed in a row", now)
                 failed = sorted(machine.failed_tasks)
@@ -607,9 +608,9 @@
                     "machine %s quarantined: tasks %s failed there in a row; it gets no new tasks",
                     machine.name, failed, extra={"machine": machine.name},
                 )  # fmt: skip
-        elif task.why is Cause.DONE:
+        elif task.end_cause is Cause.DONE:
             job.failed_on.discard(machine.name)
-        elif task.why in wire.TASK_BLOCKERS:
+        elif task.end_cause in wire.LAUNCH_REFUSALS:
             job.not_before = now + c.JOB_BACKOFF_S
 
     def machines_to_relay(self, now: float) -> list[str]:
@@ -659,12 +660,12 @@
         leader's token, by an earlier leader. Launches that this leader sent count from the session's beginning; those
         of an earlier leader count from the end of that leader's time (`earlier_leaders_until`).
         """
-        lease_s = self.params.workers.lease_s * (1 + c.CLOCK_DRIFT) + c.LEASE_MARGIN_S
+        lease_s = self.params.workers.lease_s * (1 + c.CLOCK_DRIFT) + c.WORKER_LEASE_MARGIN_S
         last = max(machine.answered_at, self.delegations.answered_until(machine.name))
         if machine.name not in self.unverified:
             last = max(last, machine.began_by)
         if not machine.fenced:
-            last = max(last, self.earlier_leaders_until + c.LEASE_MARGIN_S - lease_s)
+            last = max(last, self.earlier_leaders_until + c.WORKER_LEASE_MARGIN_S - lease_s)
         return now > last + lease_s and all(
             (now <= other.promised_until and now > other.process_began_by + lease_s)
             or now > other.answered_at + self.lease_extension_s + lease_s
@@ -793,7 +794,7 @@
             return False
         parts = split_task(task.task)
         job = self.jobs.get(parts[0]) if parts else None
-        return job is None or task.why is not Cause.DONE or (parts is not None and parts[1] in job.saved)
+        return job is None or task.end_cause is not Cause.DONE or (parts is not None and parts[1] in job.saved)
 
     def _orders_for(self, attempt: Attempt, seq: int, now: float) -> list[dict[str, Any]]:
         """Orders for one attempt, if any. `seq`: number of the report to be answered; -1 for a direct command."""
--- a/pepperlatch/policy/fleet.py
+++ b/pepperlatch/policy/fleet.py
@@ -206,4 +206,4 @@
 def _score(offer: Offer, kind: MachineType, demands: list[Demand], urgent: bool, least: Size) -> float:
     """Price for each CPU or GPU put to use; if something is urgent, higher for types that boot slowly."""
     taken = empty_bin(offer, kind).would_take(demands, least)
-    return price_of(offer, kind) / max(taken, EPS) * (1 + (kind.boot_s / c.BOOT_WORTH_S if urgent else 0))
+    return price_of(offer, kind) / max(taken, EPS) * (1 + (kind.boot_s / c.BOOT_PRICE_DOUBLING_S if urgent else 0))
--- a/pepperlatch/policy/heartbeat_router.py
+++ b/pepperlatch/policy/heartbeat_router.py
@@ -42,15 +42,19 @@
         in_zone = [node for node, other in self.zones.items() if other == zone]
         if in_zone:
             self.remote_report_at = now
-        in_contact = [node for node in in_zone if now - self.heard_leader_at.get(node, float("-inf")) < c.HOME_HEARS_S]
+        in_contact = [
+            node
+            for node in in_zone
+            if now - self.heard_leader_at.get(node, float("-inf")) < c.PREFERRED_CONTROLLER_VALID_S
+        ]
         return max(in_contact, key=lambda node: crc32(f"{machine} {node}".encode()), default=None)
 
     def controllers_to_query(self, now: float) -> list[str]:
         """The other controllers, to be asked whether they are in contact with the leader.
 
-        Empty unless a worker from a zone with controllers of its own reported here within `HOME_LOOK_S`.
+        Empty unless a worker from a zone with controllers of its own reported here within `PREFERRED_CONTROLLER_PROBE_PERIOD_S`.
         """
-        if now - self.remote_report_at > c.HOME_LOOK_S:
+        if now - self.remote_report_at > c.PREFERRED_CONTROLLER_PROBE_PERIOD_S:
             return []
         return [node for node in self.zones if node != self.node]
 
@@ -64,17 +68,17 @@
     def may_redirect(self, machine: str, now: float) -> bool:
         """Whether the worker may be sent to another controller now; if so, that is recorded.
 
-        A worker that is back within `RELAY_AFTER_S` had no success there, and is accepted here for `RELAY_STICKY_S`.
+        A worker that is back within `FORWARD_IF_BACK_WITHIN_S` had no success there, and is accepted here for `FORWARD_PERIOD_S`.
         """
         redirect = self.redirects.get(machine)
-        if redirect is None or (now - redirect.at > c.RELAY_AFTER_S and now > redirect.accept_until):
+        if redirect is None or (now - redirect.at > c.FORWARD_IF_BACK_WITHIN_S and now > redirect.accept_until):
             self.redirects[machine] = _Redirect(now)
             return True
         if now > redirect.accept_until:
-            redirect.accept_until = now + c.RELAY_STICKY_S
+            redirect.accept_until = now + c.FORWARD_PERIOD_S
         return False
 
     def accept_locally(self, machines: Iterable[str], now: float) -> None:
-        """Accept these workers' reports here for `RELAY_STICKY_S`: the leader does not reach them."""
+        """Accept these workers' reports here for `FORWARD_PERIOD_S`: the leader does not reach them."""
         for name in machines:
-            self.redirects[name] = _Redirect(now, now + c.RELAY_STICKY_S)
+            self.redirects[name] = _Redirect(now, now + c.FORWARD_PERIOD_S)
--- a/pepperlatch/policy/images.py
+++ b/pepperlatch/policy/images.py
@@ -22,18 +22,18 @@
     _number: int = 0
 
     def used(self, machine: str, image: str, gb: float) -> None:
-        """Note that a task on the machine uses the image of `gb` GB; beyond IMAGE_USES_MOST the oldest is forgotten."""
+        """Note that a task on the machine uses the image of `gb` GB; beyond MAX_IMAGE_USES the oldest is forgotten."""
         self._number += 1
         self._uses.pop((machine, image), None)
         self._uses[(machine, image)] = (self._number, gb)
-        if len(self._uses) > c.IMAGE_USES_MOST:
+        if len(self._uses) > c.MAX_IMAGE_USES:
             del self._uses[next(iter(self._uses))]
 
     def after(self, number: int) -> list[ImageUse]:
-        """The uses after that number, the earliest first; at most IMAGE_USES_TOLD of them."""
+        """The uses after that number, the earliest first; at most MAX_IMAGE_USES_PER_ANSWER of them."""
         latest = ((held[0], *key, held[1]) for key, held in reversed(self._uses.items()))
         newer = list(takewhile(lambda use: use[0] > number, latest))
-        return newer[-c.IMAGE_USES_TOLD :][::-1]
+        return newer[-c.MAX_IMAGE_USES_PER_ANSWER :][::-1]
 
     def learn(self, uses: Any) -> int:
         """Take over another node's uses, skipping malformed ones; returns the highest of that node's numbers, or 0."""
--- a/pepperlatch/policy/model.py
+++ b/pepperlatch/policy/model.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from pepperlatch.constants.core import EMPTYING_SHARE, REASON_STANDS_S
+from pepperlatch.constants.core import EMPTYING_SHARE, MIN_REASON_SHOWN_S
 from pepperlatch.constants.core import EPS as EPS
 from pepperlatch.policy.reasons import PLACING, STANDING, Reason
-from pepperlatch.protocol.wire import RANK, JobSpec, Kind, MachineType, TaskReport, TaskState
+from pepperlatch.protocol.wire import PRIORITY_RANK, JobSpec, Kind, MachineType, TaskReport, TaskState
 
 
 class Phase(Enum):
@@ -89,7 +89,7 @@
 
     def __post_init__(self) -> None:
         if self.rank < 0:
-            self.rank = RANK[self.spec.priority]
+            self.rank = PRIORITY_RANK[self.spec.priority]
         self.idle_since = max(self.idle_since, self.since)
         if self.due_at is None and self.spec.deadline_s:
             self.due_at = self.since + self.spec.deadline_s
@@ -102,11 +102,11 @@
         """Set the reason why it waits; True if its kind differs from the last one.
 
         New numbers alone do not restart `reason_since`. The supply of machines that a job waits for may differ from one
-        planning round to the next, so a reason of that sort stays for REASON_STANDS_S seconds before another one
+        planning round to the next, so a reason of that sort stays for MIN_REASON_SHOWN_S seconds before another one
         replaces it; otherwise thousands of jobs would change theirs several times a second.
         """
         new = reason.kind is not self.reason.kind
-        if new and now - self.reason_since < REASON_STANDS_S and {reason.kind, self.reason.kind} <= STANDING:
+        if new and now - self.reason_since < MIN_REASON_SHOWN_S and {reason.kind, self.reason.kind} <= STANDING:
             return False
         if new:
             self.reason_since = now
--- a/pepperlatch/policy/overdue_jobs.py
+++ b/pepperlatch/policy/overdue_jobs.py
@@ -33,11 +33,11 @@
 def reserves_room(job: Job, now: float) -> bool:
     """Whether other jobs must leave room for the overdue gang now.
 
-    They do for `HOLD_BACK_S`, then not for as long, and so on: enough room may never become free.
+    They do for `GANG_RESERVATION_S`, then not for as long, and so on: enough room may never become free.
     """
     if job.spec.kind is not Kind.GANG or not is_overdue(job, now):
         return False
-    return (now - job.since - c.OVERDUE_GANG_S) % (2 * c.HOLD_BACK_S) < c.HOLD_BACK_S
+    return (now - job.since - c.OVERDUE_GANG_S) % (2 * c.GANG_RESERVATION_S) < c.GANG_RESERVATION_S
 
 
 def reserved_machines(job: Job, machines: Iterable[Machine], zones: Iterable[str]) -> set[Machine]:
--- a/pepperlatch/policy/pace.py
+++ b/pepperlatch/policy/pace.py
@@ -15,13 +15,13 @@
 class RoundPace:
     """The speed of planning on this leader; work is counted in machines looked at."""
 
-    work_per_s: float = c.PLAN_WORK_PER_S
+    work_per_s: float = c.INITIAL_PLAN_WORK_PER_S
 
     def work_limit(self) -> float:
         """The work that the next round may do."""
-        return max(c.PLAN_WORK_LEAST, self.work_per_s * c.PLAN_ROUND_S)
+        return max(c.MIN_PLAN_WORK, self.work_per_s * c.MAX_PLAN_ROUND_S)
 
     def record_round(self, work: float, seconds: float) -> None:
-        """Take in the work and duration of a round. Rounds below `PLAN_MEASURED_S` are ignored: they say little."""
-        if work > 0 and seconds >= c.PLAN_MEASURED_S:
+        """Take in the work and duration of a round. Rounds below `MIN_MEASURED_ROUND_S` are ignored: they say little."""
+        if work > 0 and seconds >= c.MIN_MEASURED_ROUND_S:
             self.work_per_s = (self.work_per_s + work / seconds) / 2
--- a/pepperlatch/policy/placement.py
+++ b/pepperlatch/policy/placement.py
@@ -28,8 +28,8 @@
         and machine.reclaim_at is None
         and machine.session > machine.last_ended_session
         and now - machine.reached_at <= fresh_s
-        and now - machine.heartbeat_at <= c.MUTE_TIMES * fresh_s
-        and machine.lost_answers < c.UNHEARD_MOST
+        and now - machine.heartbeat_at <= c.OWN_HEARTBEAT_FACTOR * fresh_s
+        and machine.lost_answers < c.MAX_LOST_LAUNCH_ANSWERS
     )
 
 
@@ -108,7 +108,7 @@
 
 def fetch_s(machine: Machine, spec: JobSpec) -> float:
     """Seconds that fetching the job's image takes at worst, if the machine fetches nothing else meanwhile."""
-    return spec.image_gb / max(machine.type.fetch_gb_per_s, EPS) * c.FETCH_SPREAD
+    return spec.image_gb / max(machine.type.fetch_gb_per_s, EPS) * c.FETCH_TIME_FACTOR
 
 
 def would_pin(machine: Machine, cheapest: float) -> bool:
@@ -116,13 +116,13 @@
 
     `cheapest` is the lowest price of a machine that fits the replica.
     """
-    return not machine.holds_replicas() and machine.price() > c.PIN_RATIO * cheapest
+    return not machine.holds_replicas() and machine.price() > c.MAX_REPLICA_PRICE_FACTOR * cheapest
 
 
 def is_slow(machine: Machine) -> bool:
-    """Whether the median of the last `SLOW_SAMPLES` tasks took over `SLOW_FACTOR` times their estimate."""
-    recent = machine.pace[-c.SLOW_SAMPLES :]
-    return len(recent) >= c.SLOW_SAMPLES and sorted(recent)[len(recent) // 2] > c.SLOW_FACTOR
+    """Whether the median of the last `SLOW_MACHINE_SAMPLES` tasks took over `SLOW_MACHINE_FACTOR` times their estimate."""
+    recent = machine.pace[-c.SLOW_MACHINE_SAMPLES :]
+    return len(recent) >= c.SLOW_MACHINE_SAMPLES and sorted(recent)[len(recent) // 2] > c.SLOW_MACHINE_FACTOR
 
 
 class Candidates:
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -26,11 +26,13 @@
 from pepperlatch.policy.reasons import Reason, Why
 from pepperlatch.policy.supply import ReplicaReserve
 from pepperlatch.policy.zones import ZoneObservation, ZoneTracker
-from pepperlatch.protocol.wire import RANK, JobSpec, Kind, Priority
+from pepperlatch.protocol.wire import PRIORITY_RANK, JobSpec, Kind, Priority
 
 log = logging.getLogger(__name__)
 PREEMPTED_FOR = "stopped for "  # stated cause of a preemption; the id of the preempting job follows
-PREEMPTING_RANK = RANK[Priority.HIGH]  # jobs of this or a stronger rank may preempt beyond their team's guarantee
+PREEMPTING_RANK = PRIORITY_RANK[
+    Priority.HIGH
+]  # jobs of this or a stronger rank may preempt beyond their team's guarantee
 
 
 @dataclass(slots=True)
@@ -222,7 +224,7 @@
     def _candidates(self, job: Job, machines: list[Machine], now: float) -> Candidates:
         """The machines for the job's tasks, best first.
 
-        For its first `PIN_WAIT_S` a new service avoids expensive machines that its replicas alone would keep in use, if
+        For its first `REPLICA_PRICE_WAIT_S` a new service avoids expensive machines that its replicas alone would keep in use, if
         a cheap one can be rented.
         """
         spec, zones = job.spec, self.cluster.params.zones
@@ -233,7 +235,7 @@
         if (
             spec.kind is Kind.SERVICE
             and not job.ran
-            and now - job.since < c.PIN_WAIT_S
+            and now - job.since < c.REPLICA_PRICE_WAIT_S
             and self._cheap_machine_available(spec, now)
         ):
             cheapest = self._cheapest_price(spec)
@@ -243,10 +245,10 @@
     def _room_filter(self, job: Job, now: float) -> Callable[[Machine], bool]:
         """A test of whether the job may use a machine: its room may be kept for replicas, or be too expensive for now.
 
-        A job that runs nothing and has waited for `KEPT_ROOM_MOST_S` may start one task, or a whole gang, anywhere.
+        A job that runs nothing and has waited for `MAX_RESERVATION_WAIT_S` may start one task, or a whole gang, anywhere.
         """
         spec, exempt, cheap_only = job.spec, self._exempt_from_reserve(job), self._waits_for_cheap_room(job, now)
-        waited_long = not job.live and now - job.idle_since > c.KEPT_ROOM_MOST_S
+        waited_long = not job.live and now - job.idle_since > c.MAX_RESERVATION_WAIT_S
 
         def free(machine: Machine) -> bool:
             if waited_long and (spec.kind is Kind.GANG or not job.live):
@@ -281,7 +283,7 @@
         ):
             return False
         waited = now - job.since
-        return waited < c.THRIFT_SHARE * (waited + supply.slack_s(job, self.cluster.params.objectives, now))
+        return waited < c.CHEAP_ROOM_WAIT_SHARE * (waited + supply.slack_s(job, self.cluster.params.objectives, now))
 
     def _cheapest_price(self, spec: JobSpec) -> float:
         """The lowest price of an ordinary machine that the task fits."""
@@ -289,7 +291,7 @@
 
     def _cheap_machine_available(self, spec: JobSpec, now: float) -> bool:
         """Whether a machine that a single replica may keep can be rented: no refusal blocks its offer."""
-        most = self._cheapest_price(spec) * c.PIN_RATIO
+        most = self._cheapest_price(spec) * c.MAX_REPLICA_PRICE_FACTOR
         return any(
             self.blocked_until.get(Offer(t.name, zone, False), 0.0) <= now
             for t in self.cluster.types.values() if t.price <= most and fits_type(spec, t)
@@ -351,11 +353,11 @@
     # --- preempting -------------------------------------------------------------------------------
 
     def preempt(self, now: float) -> None:
-        """Make room for jobs that may preempt: stop the tasks that lose least work, until `PREEMPT_MOST` are stopped.
+        """Make room for jobs that may preempt: stop the tasks that lose least work, until `MAX_PREEMPTIONS_PER_ROUND` are stopped.
 
         Jobs with unplaced tasks may preempt within their team's guarantee, or if their priority is high or stronger.
         """
-        left = c.PREEMPT_MOST
+        left = c.MAX_PREEMPTIONS_PER_ROUND
         inside = self.within_guarantee
         machines = self.usable_machines(now) if self.demands else []
         running = (j for j in self.cluster.jobs.values() if j.live and j.spec.kind is Kind.ARRAY)
@@ -472,7 +474,7 @@
         )
 
     def offers_to_rent(self, now: float) -> list[Offer]:
-        """Machines to request from the cloud, one offer for each, at most `HIRE_COUNT_MOST`.
+        """Machines to request from the cloud, one offer for each, at most `MAX_MACHINES_PER_HIRE`.
 
         Demands are first assigned to booting machines and to the slots of tasks that finish in time. The reason why its
         tasks wait is stated for each job. The leader calls this only while its leadership is proven.
@@ -502,7 +504,7 @@
             for zone in self.unreachable_zones
             for spot in (False, True)
         }
-        chosen = fleet.choose_offers(demands, list(self.cluster.types.values()), blocked, c.HIRE_COUNT_MOST)
+        chosen = fleet.choose_offers(demands, list(self.cluster.types.values()), blocked, c.MAX_MACHINES_PER_HIRE)
         explainer = shortage.ShortageExplainer(
             self.cluster.types,
             self.blocked_until,
@@ -540,7 +542,7 @@
         if self.reserve.spec is None or self.cluster.rebuilding():
             return []
         cheapest = self._cheapest_price(self.reserve.spec)
-        type_names = [t.name for t in self.cluster.types.values() if t.price <= c.PIN_RATIO * cheapest]
+        type_names = [t.name for t in self.cluster.types.values() if t.price <= c.MAX_REPLICA_PRICE_FACTOR * cheapest]
         booting = sum(
             room.slots(self.reserve.spec)
             for room in self.booting_bins(now)
@@ -578,7 +580,9 @@
         if job.spec.kind is not Kind.ARRAY or job.spec.estimate_s <= 0:
             return 1
         boot_s = max((kind.boot_s for kind in self.cluster.types.values()), default=0.0)
-        return 1 + max(0, int((self._patience_s(job, now) - boot_s) // (job.spec.estimate_s * c.ESTIMATE_CAUTION)))
+        return 1 + max(
+            0, int((self._patience_s(job, now) - boot_s) // (job.spec.estimate_s * c.ESTIMATE_SAFETY_FACTOR))
+        )
 
     def observe_zone(self, name: str, observation: ZoneObservation, now: float) -> None:
         """Take in an observation of a zone; nothing is rented where a machine would cost and could not report."""
@@ -591,7 +595,7 @@
 
     def offer_refused(self, offer: Offer, now: float) -> None:
         """The cloud has no capacity: the offer is blocked for a pause that doubles with each refusal, up to a limit."""
-        pause = min(c.NO_CAPACITY_PAUSE_MOST_S, max(c.NO_CAPACITY_PAUSE_S, self.refusal_pause_s.get(offer, 0.0) * 2))
+        pause = min(c.MAX_NO_CAPACITY_PAUSE_S, max(c.NO_CAPACITY_PAUSE_S, self.refusal_pause_s.get(offer, 0.0) * 2))
         self.refusal_pause_s[offer] = pause
         self.blocked_until[offer] = now + pause
 
@@ -633,7 +637,7 @@
         """
         since = machine.idle_since if machine.idle_since is not None else now
         idle_s = self.settings["idle_s"] * machine.type.price / max(machine.price(), EPS)
-        return now - since >= idle_s and now - machine.created_at >= c.MIN_CHARGE_S - c.CHARGE_SLACK_S
+        return now - since >= idle_s and now - machine.created_at >= c.MIN_CHARGE_S - c.RETURN_LEAD_S
 
     # --- draining ---------------------------------------------------------------------------------
 
--- a/pepperlatch/policy/prerequisites.py
+++ b/pepperlatch/policy/prerequisites.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from pepperlatch.constants.core import STEP_S
+from pepperlatch.constants.core import CHAIN_STEP_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     def required_of_needed(self, urgency: Urgency) -> Urgency:
         """The urgency that a job needed by this one must have for this one, with the given urgency, to be in time."""
         chained = urgency.due < math.inf
-        return Urgency(urgency.rank, urgency.due - self.run_s - STEP_S, urgency.jobs_after + 1 if chained else 0)
+        return Urgency(urgency.rank, urgency.due - self.run_s - CHAIN_STEP_S, urgency.jobs_after + 1 if chained else 0)
 
 
 @dataclass(slots=True)
--- a/pepperlatch/policy/reasons.py
+++ b/pepperlatch/policy/reasons.py
@@ -75,7 +75,7 @@
     (Why.NO_ROOM, Why.ROOM_SOON, Why.BOOTING, Why.ASKING_CLOUD, Why.NO_CAPACITY,
      Why.CUT_OFF, Why.CHEAP_ROOM, Why.NO_RENTING)
 )  # fmt: skip
-STANDING = SUPPLY - {Why.NO_ROOM}  # stays for REASON_STANDS_S before another of them replaces it
+STANDING = SUPPLY - {Why.NO_ROOM}  # stays for MIN_REASON_SHOWN_S before another of them replaces it
 
 
 class Reason(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -116,8 +116,8 @@
 
 def named(job_ids: Sequence[str]) -> str:
     """A list of job ids in words; of long lists only the first ones."""
-    more = len(job_ids) - c.NAMES_SHOWN
-    return ", ".join(job_ids[: c.NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
+    more = len(job_ids) - c.MAX_NAMES_SHOWN
+    return ", ".join(job_ids[: c.MAX_NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
 
 
 def _together(r: Reason) -> str:
--- a/pepperlatch/policy/supply.py
+++ b/pepperlatch/policy/supply.py
@@ -40,7 +40,7 @@
     steps after it, whose run times are only estimated.
     """
     waited, spec = now - job.since, job.spec
-    run_s = spec.estimate_s * c.ESTIMATE_CAUTION
+    run_s = spec.estimate_s * c.ESTIMATE_SAFETY_FACTOR
     slack = [(job.due_at - now - run_s) / (1 + job.after)] if job.due_at is not None else []
     for objective in objectives:
         if objective.job_class == spec.job_class and objective.within_s is not None:
@@ -64,7 +64,7 @@
     """When the job's tasks must start to meet its next deadline or objective; infinite if none can be met any more.
 
     A job that is late yields to those that are not: when more jobs arrive than can be served in time, strict order of
-    arrival would make all of them late. A job that waited `LOST_AIMS_TIMES` its longest objective goes first again.
+    arrival would make all of them late. A job that waited `MISSED_OBJECTIVE_FACTOR` its longest objective goes first again.
     `inside`: it is within its team's guarantee. The result is a time of the leader's steady clock.
     """
     spec, waited = job.spec, now - job.since
@@ -76,9 +76,9 @@
             ends.append(objective.within_s - (spec.estimate_s if objective.kind == "finished" else 0.0))
         elif objective.kind == "guarantee" and inside:
             ends.append(objective.within_s)
-    if ends and waited > c.LOST_AIMS_TIMES * max(ends):
+    if ends and waited > c.MISSED_OBJECTIVE_FACTOR * max(ends):
         return job.since
-    return job.since + min((end for end in ends if end > waited + c.START_S), default=math.inf)
+    return job.since + min((end for end in ends if end > waited + c.TASK_START_S), default=math.inf)
 
 
 def assign_finishing_slots(demand: Demand, slots: list[FinishingSlot], patience_s: float) -> None:
@@ -151,7 +151,7 @@
         )
         self._required_fetch_rate = {}
         for spec in replicas:
-            rate = spec.image_gb * c.FETCH_SPREAD / max(start_s(spec), EPS)
+            rate = spec.image_gb * c.FETCH_TIME_FACTOR / max(start_s(spec), EPS)
             self._required_fetch_rate[spec.image] = max(rate, self._required_fetch_rate.get(spec.image, 0.0))
         self._slots, self._total_slots, self._slots_with_image = {}, 0, Counter()
         for machine in machines if self.spec else ():
--- a/pepperlatch/policy/zones.py
+++ b/pepperlatch/policy/zones.py
@@ -30,12 +30,12 @@
 
     def mostly_silent(self) -> bool:
         """Whether so many machines are silent as do not die at once by themselves; False for a zone with few."""
-        share = c.SILENT_SHARE_ALONE if self.controller_answers is None else c.SILENT_SHARE
-        return self.up >= c.MACHINES_LEAST and self.silent >= share * self.up
+        share = c.CUT_SILENT_SHARE_WITHOUT_CONTROLLER if self.controller_answers is None else c.CUT_SILENT_SHARE
+        return self.up >= c.MIN_MACHINES and self.silent >= share * self.up
 
     def mostly_reporting(self) -> bool:
         """Whether few enough machines are silent for the zone to count as reachable again."""
-        return self.silent < c.BACK_SHARE * self.up
+        return self.silent < c.RECOVERED_SILENT_SHARE * self.up
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
         next_state = self._next(observation, now)
         if next_state is self.state:
             return False
-        if next_state is ZoneState.PARTITIONED and now - self.partitioned_at > c.KEEP_S:
+        if next_state is ZoneState.PARTITIONED and now - self.partitioned_at > c.CUT_KEEP_S:
             self.partitioned_at = now  # a zone that flaps has one partition
         self.state, self.since = next_state, now
         return True
@@ -65,14 +65,14 @@
         if observation.mostly_silent() and observation.controller_answers is not True:
             return ZoneState.PARTITIONED
         if self.state is ZoneState.RECOVERING:
-            return ZoneState.RECOVERING if now - self.since < c.BACK_S else ZoneState.REACHABLE
+            return ZoneState.RECOVERING if now - self.since < c.RECOVERY_S else ZoneState.REACHABLE
         if observation.mostly_silent() or (self.state is ZoneState.DOUBTFUL and not observation.mostly_reporting()):
             return ZoneState.DOUBTFUL
         return ZoneState.REACHABLE
 
     def _next_when_partitioned(self, observation: ZoneObservation, now: float) -> ZoneState:
         if not observation.up:  # no machine is left to observe: the zone is tried again after a while
-            return ZoneState.PARTITIONED if now - self.last_up_at < c.TRY_AGAIN_S else ZoneState.REACHABLE
+            return ZoneState.PARTITIONED if now - self.last_up_at < c.EMPTY_ZONE_RETRY_S else ZoneState.REACHABLE
         return (
             ZoneState.RECOVERING
             if observation.mostly_reporting()
@@ -99,23 +99,23 @@
     def unreachable(self, now: float) -> set[str]:
         """Zones where nothing is rented, since a machine there would cost and not report.
 
-        A doubtful zone is one after `DOUBT_S`.
+        A doubtful zone is one after `DOUBTFUL_STOP_RENTING_S`.
         """
         return {
             name for name, zone in self.by_name.items()
             if zone.state is ZoneState.PARTITIONED
-            or (zone.state is ZoneState.DOUBTFUL and now - zone.since >= c.DOUBT_S)
+            or (zone.state is ZoneState.DOUBTFUL and now - zone.since >= c.DOUBTFUL_STOP_RENTING_S)
         }  # fmt: skip
 
     def keeps_machines(self, name: str, now: float) -> bool:
         """Whether the zone's machines are kept although they are silent and idle.
 
-        Most partitions end before replacements would be up. Kept for `KEEP_S` of a partition, `BACK_KEEP_S` after it.
+        Most partitions end before replacements would be up. Kept for `CUT_KEEP_S` of a partition, `RECOVERY_KEEP_S` after it.
         """
         zone = self.by_name.get(name)
         if zone is None or zone.state not in (ZoneState.PARTITIONED, ZoneState.RECOVERING):
             return False
         if zone.state is ZoneState.RECOVERING:
             # A machine that died meanwhile must not hold up what waits for all machines to be accounted for.
-            return now - zone.since < c.BACK_KEEP_S
-        return now - zone.partitioned_at < c.KEEP_S
+            return now - zone.since < c.RECOVERY_KEEP_S
+        return now - zone.partitioned_at < c.CUT_KEEP_S
--- a/pepperlatch/protocol/cloud.py
+++ b/pepperlatch/protocol/cloud.py
@@ -1,4 +1,7 @@
-"""Client of the cloud's interface, inside its rate."""
+"""Client of the cloud's interface, within its rate limit.
+
+The leader rents and returns machines; while nobody leads, other controllers may return some.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,63 +11,69 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.budget import Budget
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
-from pepperlatch.settings import Cloud
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
+from pepperlatch.protocol.token_bucket import TokenBucket
+from pepperlatch.settings import CloudLimits
 
 
-class CloudTrouble(Exception):
-    """The call got no usable answer; it may or may not have been carried out."""
+class CloudError(Exception):
+    """The call got no usable answer; it may have been carried out."""
 
 
 class NoCapacity(Exception):
-    """None to be had of this type, zone and kind at present."""
+    """The cloud has no machine of this type and zone, spot or ordinary, at present."""
 
 
 class CloudClient:
-    def __init__(self, network: Network, addr: str, limits: Cloud, clock: Callable[[], float]) -> None:
+    """Calls wait for the rate limit and raise CloudError, `hire` also NoCapacity."""
+
+    def __init__(self, network: Network, addr: str, limits: CloudLimits, clock: Callable[[], float]) -> None:
         self._network = network
         self._addr = addr
         self._clock = clock
-        self._budget = Budget(limits.rps * c.CLOUD_SHARE, c.CLOUD_BURST_S)
+        self._budget = TokenBucket(limits.rps * c.CLOUD_RATE_SHARE, c.CLOUD_BURST_S)
 
     async def _call(self, method: str, path: str, body: Any = None) -> Any:
-        wait = self._budget.wait_for(self._clock())
+        wait = self._budget.take(self._clock())
         if wait > 0:
             await trio.sleep(wait)
         try:
-            status, answer = await self._network.request(self._addr, method, path, body, c.CLOUD_REQUEST_S)
-        except (NotSent, Lost) as error:
-            raise CloudTrouble(str(error)) from None
+            status, answer = await self._network.request(self._addr, method, path, body, c.CLOUD_REQUEST_TIMEOUT_S)
+        except (NotSent, NoUsableResponse) as error:
+            raise CloudError(str(error)) from None
         if status == 503 and isinstance(answer, dict) and answer.get("error") == "no capacity":
             raise NoCapacity
         if status != 200:
-            raise CloudTrouble(f"{path}: {status} {answer}")
+            raise CloudError(f"{path}: {status} {answer}")
         return answer
 
     async def types(self) -> list[wire.MachineType]:
-        answer = await self._call("GET", wire.TYPES)
+        """All machine types with their present prices."""
+        answer = await self._call("GET", wire.TYPES_PATH)
         try:
             return wire.types_of(answer)
         except (msgspec.ValidationError, KeyError, TypeError) as error:
-            raise CloudTrouble(f"unexpected machine types: {error}") from None
+            raise CloudError(f"unexpected machine types: {error}") from None
 
     async def hire(self, request: str, type_name: str, zone: str, spot: bool, count: int) -> list[str]:
-        return wire.hired(
-            await self._call("POST", wire.MACHINES, wire.hire_body(request, type_name, zone, spot, count))
+        """Rent up to `count` machines; returns their names. Repeating the same `request` id rents no more."""
+        return wire.hired_names(
+            await self._call("POST", wire.MACHINES_PATH, wire.hire_body(request, type_name, zone, spot, count))
         )
 
     async def release(self, names: list[str]) -> None:
-        await self._call("POST", wire.RELEASE, wire.release_body(names))
+        """Return machines to the cloud."""
+        await self._call("POST", wire.RELEASE_PATH, wire.release_body(names))
 
-    async def machines(self) -> list[wire.Listed]:
-        listed: list[wire.Listed] = []
+    async def machines(self) -> list[wire.ListedMachine]:
+        """All rented machines. The list may lag behind, see `list_lag_s` of the settings."""
+        listed: list[wire.ListedMachine] = []
         after = ""
         while True:
             try:
-                page = wire.convert(await self._call("GET", wire.list_path(after, c.LIST_PAGE)), wire.MachinePage)
+                page = wire.convert(await self._call("GET", wire.machines_path(after, c.LIST_PAGE)), wire.MachinePage)
             except msgspec.ValidationError as error:
-                raise CloudTrouble(f"unexpected machine list: {error}") from None
+                raise CloudError(f"unexpected machine list: {error}") from None
             listed += page.machines
             if not page.more or not page.machines:
                 return listed
--- a/pepperlatch/scale/machine.py
+++ b/pepperlatch/scale/machine.py
@@ -145,7 +145,7 @@
             self.tasks[key] = Task(unknown, TaskState.EXITED, Cause.UNKNOWN)
             return
         if any(other[0] == key[0] and task.state is not TaskState.EXITED for other, task in self.tasks.items()):
-            self.tasks[key] = Task(needs, TaskState.EXITED, Cause.BUSY)
+            self.tasks[key] = Task(needs, TaskState.EXITED, Cause.ALREADY_RUNNING)
         elif not self._room_for(needs):
             self.tasks[key] = Task(needs, TaskState.EXITED, Cause.NO_ROOM)
         else:
@@ -239,7 +239,7 @@
 
 def _length(task: str) -> float:
     """How long the task runs, in times of its job's mean; the same wherever it runs."""
-    return 1 + c.RUN_SPREAD * (2 * crc32(task.encode()) / 0xFFFFFFFF - 1)
+    return 1 + c.TASK_LENGTH_SPREAD * (2 * crc32(task.encode()) / 0xFFFFFFFF - 1)
 
 
 def needs_of(spec: wire.JobSpec) -> JobNeeds:
--- a/pepperlatch/scale/users.py
+++ b/pepperlatch/scale/users.py
@@ -11,7 +11,7 @@
 
 from pepperlatch.constants import scale as c
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import HttpNetwork, Lost, NotSent
+from pepperlatch.protocol.http.client import HttpNetwork, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Request, Response, Server
 from pepperlatch.scale import control
 from pepperlatch.scale.addresses import Addresses
@@ -54,11 +54,13 @@
         network = HttpNetwork(2)
         while True:
             try:
-                status, _ = await network.request(self._addresses[index], "GET", wire.HEALTH, None, c.PROBE_EVERY_S)
+                status, _ = await network.request(
+                    self._addresses[index], "GET", wire.HEALTH_PATH, None, c.HEALTH_PROBE_INTERVAL_S
+                )
                 self._healthy[index] = status == 200
-            except (NotSent, Lost):
+            except (NotSent, NoUsableResponse):
                 self._healthy[index] = False
-            await trio.sleep(c.PROBE_EVERY_S)
+            await trio.sleep(c.HEALTH_PROBE_INTERVAL_S)
 
     def healthy(self) -> int:
         return sum(self._healthy)
@@ -85,17 +87,17 @@
         self._cancel_after_s = cancel_after_s
 
     async def run(self) -> None:
-        if not await self._repeat("submit", "POST", wire.JOBS, wire.to_plain(self._spec)):
+        if not await self._repeat("submit", "POST", wire.JOBS_PATH, wire.to_plain(self._spec)):
             return
         if self._cancel_after_s is not None:
             await trio.sleep(self._cancel_after_s)
-            await self._repeat("cancel", "POST", f"{wire.JOBS}/{self._spec.id}/{wire.CANCEL}", {})
+            await self._repeat("cancel", "POST", f"{wire.JOBS_PATH}/{self._spec.id}/{wire.CANCEL_SUBPATH}", {})
         await self._poll()
 
     async def _poll(self) -> None:
         while True:
             await trio.sleep(POLL_EVERY_S * self._users.random.uniform(0.8, 1.2))
-            answer = await self._ask("poll", "GET", f"{wire.JOBS}/{self._spec.id}", None, c.POLL_TRY_S)
+            answer = await self._ask("poll", "GET", f"{wire.JOBS_PATH}/{self._spec.id}", None, c.USER_POLL_TIMEOUT_S)
             if answer.state in (wire.JobState.DONE.value, wire.JobState.CANCELLED.value):
                 return
 
@@ -103,7 +105,7 @@
         """Until it is answered for good, for a minute; whether it was taken."""
         until = time.monotonic() + REPEAT_S
         while time.monotonic() < until:
-            answer = await self._ask(request, method, path, body, c.USER_TRY_S)
+            answer = await self._ask(request, method, path, body, c.USER_SUBMIT_TIMEOUT_S)
             if answer.status in (200, 201):
                 return True
             if answer.status in (400, 404, 422):
@@ -116,12 +118,12 @@
         node = self._users.balancer.take()
         network = HttpNetwork(1)
         try:
-            status, retry_after, answer = await network.ask(
+            status, retry_after, answer = await network.request_with_retry_after(
                 self._users.balancer.address(node), method, path, body, seconds
             )
             state = answer.get("status") if isinstance(answer, dict) and status in (200, 201) else None
             found = UserAnswer(status, state, float(retry_after or 0))
-        except (NotSent, Lost):
+        except (NotSent, NoUsableResponse):
             found = UserAnswer(0)
         finally:
             network.close()
@@ -226,7 +228,7 @@
         while True:
             await trio.sleep(3600 / self.scenario.changes_per_hour)
             turn += 1
-            with trio.move_on_after(c.SETTINGS_TRY_S) as scope:
+            with trio.move_on_after(c.SETTINGS_TIMEOUT_S) as scope:
                 await self._change(SETTING_VALUES[turn % 2])
             self._changes_failed += scope.cancelled_caught
 
@@ -248,7 +250,7 @@
                 status, answer = await self._network.request(address, "PUT", "/admin/settings", body)
                 if status == 200:
                     return int(answer["version"])
-            except (NotSent, Lost, KeyError, TypeError):
+            except (NotSent, NoUsableResponse, KeyError, TypeError):
                 pass
             await trio.sleep(PAUSE_S)
 
@@ -259,7 +261,7 @@
                 status, shown = await self._network.request(address, "GET", "/admin/settings")
                 if status == 200 and shown["version"] >= version:
                     return
-            except (NotSent, Lost):
+            except (NotSent, NoUsableResponse):
                 pass
             await trio.sleep(0.1)
 
--- a/tests/acceptance/test_back_at_once.py
+++ b/tests/acceptance/test_back_at_once.py
@@ -10,7 +10,7 @@
 from pepperlatch.controller.leadership import Leadership
 from pepperlatch.controller.store import Replica
 from pepperlatch.policy.model import Status
-from pepperlatch.protocol.state import Unsure
+from pepperlatch.protocol.state import OutcomeUnknown
 from pepperlatch.protocol.wire import Cause
 from tests.cuts.test_sessions import cluster_of, report
 from tests.fakes import CANCEL_S, LEASE_S, NODES, REPORT_S, World, job, story
@@ -149,16 +149,16 @@
     def __init__(self, seconds: float, lose: bool) -> None:
         self.seconds, self.lose, self.given_back = seconds, lose, []  # type: ignore[var-annotated]
 
-    async def grant(self, life_ms: int) -> int:
+    async def grant_lease(self, life_ms: int) -> int:
         await trio.sleep(self.seconds)
         return 7
 
     async def txn(self, conditions: object, writes: object, urgent: bool = False) -> object:
         if self.lose:
-            raise Unsure("no answer")
+            raise OutcomeUnknown("no answer")
         return type("Done", (), {"applied": True, "revision": 9})
 
-    async def revoke(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         self.given_back.append(lease)
 
 
@@ -171,7 +171,7 @@
         leadership = Leadership("n", state, replica, 10.0, trio.current_time, 1)  # type: ignore[arg-type]
         began = trio.current_time()
         if lose:
-            with pytest.raises(Unsure):
+            with pytest.raises(OutcomeUnknown):
                 await leadership._try_to_win()
             assert state.given_back == [7], "or nobody would lead until it ends"
             return
@@ -194,12 +194,13 @@
         await world.bounce(index, 0.0)
         reports = world.nodes[index].heartbeats
         await world.until(lambda: reports.leader_contact.token > 0, 5)
-        reports._state.good_at = reports._renewal_revoked_until = float("-inf")  # no state service, no leader heard
+        # no state service, no leader heard
+        reports._state.last_success_at = reports._renewal_revoked_until = float("-inf")
         reports._replica.current_at = trio.current_time()
         shown = report(1, 1, token=reports.leader_contact.token)
         assert not reports._may_renew_lease(shown)
-        await trio.sleep(c.STAND_IN_BAR_S)
-        reports._renewal_revoked_until = reports._state.good_at = float("-inf")
+        await trio.sleep(c.DELEGATED_RENEWAL_BAR_S)
+        reports._renewal_revoked_until = reports._state.last_success_at = float("-inf")
         assert reports._may_renew_lease(shown)
 
     story(tell)
@@ -265,4 +266,4 @@
         return any(order["verb"] == "reap" for order in cluster.orders_for_heartbeat(one, True, now))
 
     assert not reaped(3.0)
-    assert reaped(3.0 + c.COPIES_S)
+    assert reaped(3.0 + c.DUPLICATE_LAUNCH_WINDOW_S)
--- a/tests/command/test_cli.py
+++ b/tests/command/test_cli.py
@@ -13,7 +13,7 @@
 from pepperlatch.command import cli, preferences, service
 from pepperlatch.command.service import NoAnswer, Service
 from pepperlatch.pipelines import canonical
-from pepperlatch.protocol.http.client import Lost, NotSent
+from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
 from tests.pipelines.helpers import described
 from tests.pipelines.test_files import GOOD
 
@@ -22,13 +22,15 @@
 
 
 class Network:
-    """Answers by a function of the request; a raised NotSent or Lost is what the command line meets."""
+    """Answers by a function of the request; a raised NotSent or NoUsableResponse is what the command line meets."""
 
     def __init__(self, answer: Callable[[str, str, str, Any], Answer]) -> None:
         self.answer = answer
         self.asked: list[tuple[str, str, str, Any]] = []
 
-    async def ask(self, addr: str, method: str, path: str, body: Any = None, deadline_s: float = 0.0) -> Answer:
+    async def request_with_retry_after(
+        self, addr: str, method: str, path: str, body: Any = None, deadline_s: float = 0.0
+    ) -> Answer:
         self.asked.append((addr, method, path, body))
         return self.answer(addr, method, path, body)
 
@@ -65,7 +67,7 @@
 
 def test_patience_ends_at_the_timeout_and_a_final_answer_ends_it_at_once() -> None:
     def lost(*request: Any) -> Answer:
-        raise Lost("silence")
+        raise NoUsableResponse("silence")
 
     outcome, took, said = asked(Network(lost), [ONE], 10.0)
     assert outcome == f"{ONE} gave no answer" and took <= 10.0 and len(said) >= 5
@@ -79,7 +81,7 @@
 def run(monkeypatch: pytest.MonkeyPatch, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> Any:
     """Run a command against a network in memory: exit code, standard output, standard error, requests."""
     monkeypatch.setenv("PEPPERLATCH_CONFIG", str(tmp_path / "config.toml"))
-    monkeypatch.setattr("pepperlatch.constants.core.USER_POLL_S", 0.0)
+    monkeypatch.setattr("pepperlatch.constants.core.USER_POLL_INTERVAL_S", 0.0)
 
     def go(answer: Callable[[str, str, str, Any], Answer], *args: str) -> tuple[int, str, str, list[Any]]:
         network = Network(answer)
--- a/tests/console/measure.py
+++ b/tests/console/measure.py
@@ -24,7 +24,7 @@
 from pepperlatch.constants import console as c
 from pepperlatch.controller import store
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import HttpNetwork, Lost, NotSent
+from pepperlatch.protocol.http.client import HttpNetwork, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Server
 
 HOST, PORT = "127.0.0.1", 18981
@@ -55,15 +55,17 @@
     async def ask(method: str, path: str) -> tuple[int, Any]:
         for _ in range(tries):
             try:
-                status, after, answer = await network.ask(f"{HOST}:{PORT}", method, path, None, 5.0)
-            except (NotSent, Lost) as error:
+                status, after, answer = await network.request_with_retry_after(
+                    f"{HOST}:{PORT}", method, path, None, 5.0
+                )
+            except (NotSent, NoUsableResponse) as error:
                 raise Silent(str(error)) from None
             if status != 503:
                 return status, answer
             await trio.sleep(float(after))
         raise Silent("busy")
 
-    return network, Mirror(ask, Query(state="unfinished", page=c.PAGE_MOST, most=c.CONSOLE_BYTES))
+    return network, Mirror(ask, Query(state="unfinished", page=c.MAX_PAGE_ROWS, most=c.MAX_CONSOLE_ANSWER_BYTES))
 
 
 def resident_mb() -> float:
@@ -129,16 +131,19 @@
     network, mirror = viewer(30)
     at = trio.current_time()
     await mirror.complete()
-    print(f"snapshot: {len(mirror.rows)} jobs, {network.received / 1000:.0f} KB sent, {trio.current_time() - at:.1f} s")
+    print(
+        f"snapshot: {len(mirror.rows)} jobs, {network.received_bytes / 1000:.0f} KB sent,"
+        f" {trio.current_time() - at:.1f} s"
+    )
 
 
 async def console() -> None:
     network, mirror = viewer()
     await mirror.load()
-    received = network.received
+    received = network.received_bytes
     feed = Feed(mirror, Wants(mirror.query), lambda shown: None)
     behind, stale, tries = await looked(feed, LOOK_S)
-    print(f"one console for {LOOK_S:.0f} s: {(network.received - received) / LOOK_S:.0f} bytes/s,", end=" ")
+    print(f"one console for {LOOK_S:.0f} s: {(network.received_bytes - received) / LOOK_S:.0f} bytes/s,", end=" ")
     print(f"behind in {behind} and stale in {stale} of {tries} looks")
 
 
@@ -163,7 +168,7 @@
         while True:
             shown = await feed.look()
             tries, behind, stale = tries + 1, behind + shown.behind, stale + bool(shown.stale)
-            await trio.sleep(c.POLL_S)
+            await trio.sleep(c.CONSOLE_POLL_INTERVAL_S)
     return behind, stale, tries
 
 
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -15,7 +15,7 @@
 from pepperlatch.policy.heartbeat_router import HeartbeatRouter
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.zones import Zone, ZoneObservation, ZoneState, ZoneTracker
-from pepperlatch.protocol.http.client import Lost
+from pepperlatch.protocol.http.client import NoUsableResponse
 from pepperlatch.protocol.http.server import Request
 from pepperlatch.protocol.workers import WorkerClient
 from tests.fakes import CANCEL_S, LEASE_S, NODES, World, job, settings_of, story
@@ -112,10 +112,12 @@
     assert router.preferred_controller("m", "b", 10.5) == "n2"
     assert router.preferred_controller("m", "nowhere", 10.5) is None
     assert router.may_redirect("m", 10.5) and not router.may_redirect("m", 12.0), "soon back: no success there"
-    assert not router.may_redirect("m", 12.0 + c.RELAY_STICKY_S) and router.may_redirect("m", 12.1 + c.RELAY_STICKY_S)
+    assert not router.may_redirect("m", 12.0 + c.FORWARD_PERIOD_S) and router.may_redirect(
+        "m", 12.1 + c.FORWARD_PERIOD_S
+    )
     router.record_health("n2", False, 60.0)
     assert router.preferred_controller("m", "b", 60.0) is None
-    assert router.controllers_to_query(60.1 + c.HOME_LOOK_S) == []
+    assert router.controllers_to_query(60.1 + c.PREFERRED_CONTROLLER_PROBE_PERIOD_S) == []
 
 
 def test_a_zone_changes_its_state_by_evidence_and_does_not_flap() -> None:
@@ -128,7 +130,7 @@
         (9.0, ZoneObservation(10, 2, False), ZoneState.RECOVERING),
         (10.0, ZoneObservation(10, 6, False), ZoneState.PARTITIONED),  # again: still the same cut
         (20.0, ZoneObservation(10, 4, True), ZoneState.RECOVERING),
-        (20.5 + z.BACK_S, ZoneObservation(10, 4, True), ZoneState.REACHABLE),
+        (20.5 + z.RECOVERY_S, ZoneObservation(10, 4, True), ZoneState.REACHABLE),
         (
             60.0,
             ZoneObservation(3, 2, None),
@@ -136,7 +138,7 @@
         ),  # without controllers nothing else tells deaths from a cut
         (61.0, ZoneObservation(3, 3, None), ZoneState.PARTITIONED),
         (62.0, ZoneObservation(0, 0, None), ZoneState.PARTITIONED),  # nothing is left there to tell
-        (61.0 + z.TRY_AGAIN_S, ZoneObservation(0, 0, None), ZoneState.REACHABLE),
+        (61.0 + z.EMPTY_ZONE_RETRY_S, ZoneObservation(0, 0, None), ZoneState.REACHABLE),
     ]
     for at, seen, state in told:
         zone.observe(seen, at)
@@ -149,12 +151,12 @@
     zones = ZoneTracker()
     zones.observe("a", ZoneObservation(9, 9, False), 5.0)
     zones.observe("b", ZoneObservation(9, 9, True), 5.0)
-    assert zones.unreachable(5.0) == {"a"} and zones.unreachable(5.0 + z.DOUBT_S) == {"a", "b"}
-    assert zones.keeps_machines("a", 5.0 + z.KEEP_S - 1) and not zones.keeps_machines("a", 5.0 + z.KEEP_S)
+    assert zones.unreachable(5.0) == {"a"} and zones.unreachable(5.0 + z.DOUBTFUL_STOP_RENTING_S) == {"a", "b"}
+    assert zones.keeps_machines("a", 5.0 + z.CUT_KEEP_S - 1) and not zones.keeps_machines("a", 5.0 + z.CUT_KEEP_S)
     assert not zones.keeps_machines("b", 6.0) and not zones.keeps_machines("c", 6.0)
     zones.observe("a", ZoneObservation(9, 1, True), 20.0)
-    assert zones.keeps_machines("a", 20.0 + z.BACK_KEEP_S - 0.1)
-    assert not zones.keeps_machines("a", 20.0 + z.BACK_KEEP_S), (
+    assert zones.keeps_machines("a", 20.0 + z.RECOVERY_KEEP_S - 0.1)
+    assert not zones.keeps_machines("a", 20.0 + z.RECOVERY_KEEP_S), (
         "seen: 521 tasks waited 15 s for one machine that had died"
     )
 
@@ -166,7 +168,7 @@
         one.idle_since = 0.0
     planner.observe_zone("a", ZoneObservation(9, 9, False), 100.0)
     assert [m.name for m in planner.machines_to_return(100.0)] == ["idle"]
-    assert len(planner.machines_to_return(100.0 + z.KEEP_S)) == 2
+    assert len(planner.machines_to_return(100.0 + z.CUT_KEEP_S)) == 2
 
 
 def test_machines_whose_turn_to_be_fenced_has_not_come_tell_of_their_zone_but_are_not_asked() -> None:
@@ -193,7 +195,7 @@
 
     async def request(self, addr: str, *more: Any) -> tuple[int, Any]:
         if addr not in self.up:
-            raise Lost(addr)
+            raise NoUsableResponse(addr)
         return 200, {"perch": "n", "endpoint": addr, "build": "m8", "yard": "a", "loaners": False, "tenure": 1,
                      "tally": 1, "baton": 1, "pieces": []}  # fmt: skip
 
@@ -227,7 +229,7 @@
         sweep = job(1, pieces=1, expected_s=2.0, bundle="rare")
         await world.submit(sweep)
         await world.until(lambda: world.state.job_state("run-000001") == "done", 30)
-        await trio.sleep(2 * c.CONTACT_EVERY_S)
+        await trio.sleep(2 * c.CONTACT_INTERVAL_S)
         world.kill(world.leader())
         await world.until(lambda: any(n.leader and n.leader.ready for n in world.nodes.values()), 15)
         leader = world.nodes[world.leader()].leader
@@ -237,8 +239,8 @@
 
 
 def test_the_memory_of_images_is_bounded_told_in_pieces_and_takes_no_nonsense(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(c, "IMAGE_USES_MOST", 50)
-    monkeypatch.setattr(c, "IMAGE_USES_TOLD", 20)
+    monkeypatch.setattr(c, "MAX_IMAGE_USES", 50)
+    monkeypatch.setattr(c, "MAX_IMAGE_USES_PER_ANSWER", 20)
     one, other, rng, told = ImageMemory(), ImageMemory(), random.Random(1), 0
     for _ in range(300):
         one.used(f"m{rng.randint(0, 30)}", f"i{rng.randint(0, 9)}", 1.5)
