--- a/pepperlatch/controller/attestation.py
+++ b/pepperlatch/controller/attestation.py
@@ -80,7 +80,9 @@
         return Response(200, wire.to_plain(self._attest(request)))
 
     def _attest(self, request: AttestationRequest) -> Attestation:
-        """Return the cancellations that this node knows since the requested revision, at most about `MAX_ATTESTED_CANCELLATIONS`."""
+        """Return the cancellations that this node knows since the requested revision,
+        at most about `MAX_ATTESTED_CANCELLATIONS`.
+        """
         leader_key, term = self._replica.leader, self._leadership.term
         leads = [term.token] if term is not None and not term.over else []
         token = max([leader_key[1] if leader_key is not None else 0, *leads])
@@ -149,7 +151,8 @@
     async def notify_leader(self, job_id: str, record: store.JobRecord, version: int) -> None:
         """Notify the leader of a confirmed cancellation before the user is answered, so that it starts no such task.
 
-        Usually takes a few ms, at most `CANCEL_NOTIFY_TIMEOUT_S`. A leader that does not answer learns of it from its watch. If this is
+        Usually takes a few ms, at most `CANCEL_NOTIFY_TIMEOUT_S`. A leader that does not answer learns of it from its
+        watch. If this is
         cancelled, the leader may have been notified or not.
         """
         leader_key = self._replica.leader
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -177,7 +177,8 @@
         return ""
 
     def _isolated(self, leader: Leader) -> bool:
-        """Whether no report, direct or forwarded, and no answer of a peer came for HANDOVER_SILENT_REPORTS report intervals.
+        """Whether no report, direct or forwarded, and no answer of a peer came for HANDOVER_SILENT_REPORTS report
+        intervals.
 
         Never if no machine is up.
         """
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -67,7 +67,8 @@
     async def fence(self, machine: Machine) -> None:
         """Show the machine our token, so that no earlier leader can command it any more; retry until that succeeds.
 
-        At most `MAX_CONCURRENT_FENCES` run at once. Hundreds would miss their deadlines on our share of a core, be retried,
+        At most `MAX_CONCURRENT_FENCES` run at once. Hundreds would miss their deadlines on our share of a core, be
+        retried,
         and keep the leader from renewing its lease. A machine that does not answer goes to the end of the queue.
         """
         while not self._leader_task.term.over:
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -136,7 +136,8 @@
     async def answer_all_as_leader(self, reports: list[Report], follower: str = "") -> list[HeartbeatAnswer]:
         """As the leader: an answer for each of the reports, None for those that nobody may answer.
 
-        All are None if this node does not lead, its queue is full, or the owner takes over FORWARD_TIMEOUT_S. `follower`: the
+        All are None if this node does not lead, its queue is full, or the owner takes over FORWARD_TIMEOUT_S.
+        `follower`: the
         controller that forwarded them, if it accepts delegations, else "".
         """
         leader = self._leader()
--- a/pepperlatch/controller/records.py
+++ b/pepperlatch/controller/records.py
@@ -43,7 +43,9 @@
         self._on_recorded(name)
 
     def record_tasks(self, now: float) -> None:
-        """Record jobs whose tasks are all finished, and every `MIN_PERSIST_INTERVAL_S` the finished tasks of the others."""
+        """Record jobs whose tasks are all finished, and every `MIN_PERSIST_INTERVAL_S` the finished tasks of the
+        others.
+        """
         if not self._leader_task.cluster.unsaved_jobs:
             return
         save_partial = now - self._tasks_saved_at >= c.MIN_PERSIST_INTERVAL_S
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -34,7 +34,8 @@
         self._open_hires: dict[str, set[str]] = {}
 
     def rent(self, now: float) -> None:
-        """Request the machines that the planner wants, the largest requests first, at most `MAX_CONCURRENT_HIRES` at once.
+        """Request the machines that the planner wants, the largest requests first, at most `MAX_CONCURRENT_HIRES` at
+        once.
 
         The rest is requested in later calls, together with what is wanted by then.
         """
--- a/pepperlatch/controller/writer.py
+++ b/pepperlatch/controller/writer.py
@@ -90,7 +90,9 @@
             await self._wake.wait()
 
     def _on_refused(self, batch: list[Write], error: Rejected) -> None:
-        """Retry the writes of a refused batch one by one; set a single refused write aside for `REFUSED_WRITE_RETRY_S`."""
+        """Retry the writes of a refused batch one by one; set a single refused write aside for
+        `REFUSED_WRITE_RETRY_S`.
+        """
         if len(batch) > 1:
             self._queue.extendleft(reversed([_as_single(write) for write in batch]))
             return
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -52,7 +52,8 @@
 class Cluster:
     """The state that one leader keeps during its term; created at takeover and discarded with the term.
 
-    `node` is the leader's name and `token` its fencing token. `lease_extension_s`: seconds for which a controller may renew leases
+    `node` is the leader's name and `token` its fencing token. `lease_extension_s`: seconds for which a controller may
+    renew leases
     after its last proof of leadership, or after its last contact with the leader. `spec_of` finds the spec of a job
     that has ended but whose tasks may still be reported. `cancelled_since` returns the earliest time at which a user
     may have been told that a job is cancelled; infinite if it is not.
@@ -182,7 +183,8 @@
         return [m.addr for m in heapq.nlargest(c.MAX_WITNESSES, up, key=lambda m: (m.last_report_at, m.name))]
 
     def machines_with_cancelled_tasks(self, now: float) -> list[CancelledOn]:
-        """The machines that may hold a task of a cancelled job, the longest silent first; at most MAX_CANCELLED_MACHINES_SENT.
+        """The machines that may hold a task of a cancelled job, the longest silent first; at most
+        MAX_CANCELLED_MACHINES_SENT.
 
         Sent to the other controllers with each contact, so that they can act while nobody leads.
         """
--- a/pepperlatch/policy/events.py
+++ b/pepperlatch/policy/events.py
@@ -1,6 +1,7 @@
 """Events that a leader reports to a listener, in order and after the fact. By default none listens.
 
-A listener is called by the command loop, the task that runs all changes of the leader's state, between two of its commands: it
+A listener is called by the command loop, the task that runs all changes of the leader's state, between two of its
+commands: it
 must be quick and must not change the objects that it is given. `now`: seconds of the node's steady clock.
 """
 
--- a/pepperlatch/policy/heartbeat_router.py
+++ b/pepperlatch/policy/heartbeat_router.py
@@ -52,7 +52,8 @@
     def controllers_to_query(self, now: float) -> list[str]:
         """The other controllers, to be asked whether they are in contact with the leader.
 
-        Empty unless a worker from a zone with controllers of its own reported here within `PREFERRED_CONTROLLER_PROBE_PERIOD_S`.
+        Empty unless a worker from a zone with controllers of its own reported here within
+        `PREFERRED_CONTROLLER_PROBE_PERIOD_S`.
         """
         if now - self.remote_report_at > c.PREFERRED_CONTROLLER_PROBE_PERIOD_S:
             return []
@@ -68,7 +69,8 @@
     def may_redirect(self, machine: str, now: float) -> bool:
         """Whether the worker may be sent to another controller now; if so, that is recorded.
 
-        A worker that is back within `FORWARD_IF_BACK_WITHIN_S` had no success there, and is accepted here for `FORWARD_PERIOD_S`.
+        A worker that is back within `FORWARD_IF_BACK_WITHIN_S` had no success there, and is accepted here for
+        `FORWARD_PERIOD_S`.
         """
         redirect = self.redirects.get(machine)
         if redirect is None or (now - redirect.at > c.FORWARD_IF_BACK_WITHIN_S and now > redirect.accept_until):
--- a/pepperlatch/policy/pace.py
+++ b/pepperlatch/policy/pace.py
@@ -22,6 +22,9 @@
         return max(c.MIN_PLAN_WORK, self.work_per_s * c.MAX_PLAN_ROUND_S)
 
     def record_round(self, work: float, seconds: float) -> None:
-        """Take in the work and duration of a round. Rounds below `MIN_MEASURED_ROUND_S` are ignored: they say little."""
+        """Take in the work and duration of a round.
+
+        Rounds below `MIN_MEASURED_ROUND_S` are ignored: they say little.
+        """
         if work > 0 and seconds >= c.MIN_MEASURED_ROUND_S:
             self.work_per_s = (self.work_per_s + work / seconds) / 2
--- a/pepperlatch/policy/placement.py
+++ b/pepperlatch/policy/placement.py
@@ -120,7 +120,9 @@
 
 
 def is_slow(machine: Machine) -> bool:
-    """Whether the median of the last `SLOW_MACHINE_SAMPLES` tasks took over `SLOW_MACHINE_FACTOR` times their estimate."""
+    """Whether the median of the last `SLOW_MACHINE_SAMPLES` tasks took over `SLOW_MACHINE_FACTOR` times their
+    estimate.
+    """
     recent = machine.pace[-c.SLOW_MACHINE_SAMPLES :]
     return len(recent) >= c.SLOW_MACHINE_SAMPLES and sorted(recent)[len(recent) // 2] > c.SLOW_MACHINE_FACTOR
 
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -224,7 +224,8 @@
     def _candidates(self, job: Job, machines: list[Machine], now: float) -> Candidates:
         """The machines for the job's tasks, best first.
 
-        For its first `REPLICA_PRICE_WAIT_S` a new service avoids expensive machines that its replicas alone would keep in use, if
+        For its first `REPLICA_PRICE_WAIT_S` a new service avoids expensive machines that its replicas alone would keep
+        in use, if
         a cheap one can be rented.
         """
         spec, zones = job.spec, self.cluster.params.zones
@@ -245,7 +246,8 @@
     def _room_filter(self, job: Job, now: float) -> Callable[[Machine], bool]:
         """A test of whether the job may use a machine: its room may be kept for replicas, or be too expensive for now.
 
-        A job that runs nothing and has waited for `MAX_RESERVATION_WAIT_S` may start one task, or a whole gang, anywhere.
+        A job that runs nothing and has waited for `MAX_RESERVATION_WAIT_S` may start one task, or a whole gang,
+        anywhere.
         """
         spec, exempt, cheap_only = job.spec, self._exempt_from_reserve(job), self._waits_for_cheap_room(job, now)
         waited_long = not job.live and now - job.idle_since > c.MAX_RESERVATION_WAIT_S
@@ -353,7 +355,8 @@
     # --- preempting -------------------------------------------------------------------------------
 
     def preempt(self, now: float) -> None:
-        """Make room for jobs that may preempt: stop the tasks that lose least work, until `MAX_PREEMPTIONS_PER_ROUND` are stopped.
+        """Make room for jobs that may preempt: stop the tasks that lose least work, until `MAX_PREEMPTIONS_PER_ROUND`
+        are stopped.
 
         Jobs with unplaced tasks may preempt within their team's guarantee, or if their priority is high or stronger.
         """
--- a/pepperlatch/policy/supply.py
+++ b/pepperlatch/policy/supply.py
@@ -64,7 +64,8 @@
     """When the job's tasks must start to meet its next deadline or objective; infinite if none can be met any more.
 
     A job that is late yields to those that are not: when more jobs arrive than can be served in time, strict order of
-    arrival would make all of them late. A job that waited `MISSED_OBJECTIVE_FACTOR` its longest objective goes first again.
+    arrival would make all of them late. A job that waited `MISSED_OBJECTIVE_FACTOR` its longest objective goes first
+    again.
     `inside`: it is within its team's guarantee. The result is a time of the leader's steady clock.
     """
     spec, waited = job.spec, now - job.since
--- a/pepperlatch/policy/zones.py
+++ b/pepperlatch/policy/zones.py
@@ -110,7 +110,8 @@
     def keeps_machines(self, name: str, now: float) -> bool:
         """Whether the zone's machines are kept although they are silent and idle.
 
-        Most partitions end before replacements would be up. Kept for `CUT_KEEP_S` of a partition, `RECOVERY_KEEP_S` after it.
+        Most partitions end before replacements would be up. Kept for `CUT_KEEP_S` of a partition, `RECOVERY_KEEP_S`
+        after it.
         """
         zone = self.by_name.get(name)
         if zone is None or zone.state not in (ZoneState.PARTITIONED, ZoneState.RECOVERING):
