--- a/tests/heartbeats/__init__.py
+++ b/tests/heartbeats/__init__.py
@@ -1,1 +1,1 @@
-"""Stories of heartbeats that followers forward, or answer on the leader's delegation."""
+"""Tests of heartbeats that followers forward to the leader, or answer themselves on its delegation."""
--- a/tests/heartbeats/test_forwarding.py
+++ b/tests/heartbeats/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Heartbeats on their way to a leader that is slower than they come."""
+"""Forwarding of heartbeats to a leader that answers more slowly than they arrive: batching, limits and errors."""
 
 from typing import Any
 
@@ -13,8 +13,11 @@
 LEADER = "10.0.0.1:2"
 
 
-class Slow:
-    """A leader that takes half a second a request, whatever is in it; `old` knows no several at once."""
+class SlowLeader:
+    """A leader that takes 0.5 s for each request, whatever its size. `old`: an earlier version, without batches.
+
+    `asked`: number of reports in each request. `fails`: raised instead of an answer.
+    """
 
     def __init__(self, old: bool = False) -> None:
         self.old = old
@@ -24,20 +27,25 @@
     async def request(
         self, addr: str, method: str, path: str, body: Any = None, deadline_s: float = 2.0
     ) -> tuple[int, Any]:
-        several = path == PEER_HEARTBEATS
-        if several and self.old:
+        batch = path == PEER_HEARTBEATS
+        if batch and self.old:
             return 404, {"error": "no such path"}
-        self.asked.append(len(body["beats"]) if several else 1)
+        self.asked.append(len(body["beats"]) if batch else 1)
         await trio.sleep(0.5)
         if self.fails:
             raise self.fails
-        if not several:
+        if not batch:
             return 200, {"of": body["n"]}
         return 200, {"answers": [None if b["n"] == 7 else {"of": b["n"]} for b in body["beats"]]}
 
 
-def forwarded(leader: Slow, count: int, seconds: float = 3.0, each: str = "") -> tuple[dict[int, Any], float]:
-    """What each of so many reports that come at once got for an answer, and when the last one did."""
+def forward_reports(
+    leader: SlowLeader, count: int, seconds: float = 3.0, each: str = ""
+) -> tuple[dict[int, Any], float]:
+    """Forward `count` reports at once; returns their answers by number, and the seconds until the last had one.
+
+    `seconds`: how long each may wait. `each`: content of a report. An error stands in the answers as its type.
+    """
     answers: dict[int, Any] = {}
 
     async def main() -> None:
@@ -65,42 +73,42 @@
     return answers, ends[0] - began
 
 
-def test_reports_gather_while_the_leader_is_slower_than_they_come() -> None:
-    leader = Slow()
-    answers, _ = forwarded(leader, 20)
+def test_reports_are_batched_while_the_leader_answers_slowly() -> None:
+    leader = SlowLeader()
+    answers, _ = forward_reports(leader, 20)
     assert leader.asked == [1, 19], "one after the other would take 5 s"
     assert answers[3] == (200, {"of": 3})
     assert answers[7] == (503, None), "the leader had no answer for this one"
 
 
-def test_no_request_is_larger_than_a_body_may_be() -> None:
-    leader = Slow()
-    answers, _ = forwarded(leader, 10, each="x" * 10_000)
+def test_no_batch_exceeds_the_largest_request_body() -> None:
+    leader = SlowLeader()
+    answers, _ = forward_reports(leader, 10, each="x" * 10_000)
     assert leader.asked == [1, 4, 4, 1]
     assert sum(status == 200 for status, _ in answers.values()) == 9
 
 
-def test_a_leader_of_an_earlier_version_gets_one_at_a_time() -> None:
-    leader = Slow(old=True)
-    answers, _ = forwarded(leader, 8)
+def test_a_leader_of_an_earlier_version_gets_single_reports() -> None:
+    leader = SlowLeader(old=True)
+    answers, _ = forward_reports(leader, 8)
     assert set(leader.asked) == {1}
     assert answers == {n: (200, {"of": n}) for n in range(8)}
 
 
 @pytest.mark.parametrize("fails", [Lost("cut"), NotSent("refused")])
-def test_all_that_went_together_learn_how_it_ended(fails: Exception) -> None:
-    leader = Slow()
+def test_every_report_of_a_failed_batch_gets_its_error(fails: Exception) -> None:
+    leader = SlowLeader()
     leader.fails = fails
-    answers, _ = forwarded(leader, 6)
+    answers, _ = forward_reports(leader, 6)
     assert answers == dict.fromkeys(range(6), type(fails))
 
 
-def test_a_report_whose_worker_has_no_time_left_is_not_sent_on() -> None:
-    leader = Slow()
-    answers, took = forwarded(leader, 6, seconds=0.3, each="x" * 10_000)
+def test_a_report_whose_worker_no_longer_waits_is_not_forwarded() -> None:
+    leader = SlowLeader()
+    answers, took = forward_reports(leader, 6, seconds=0.3, each="x" * 10_000)
     assert answers == dict.fromkeys(range(6), Lost)
     assert took < 1.0
-    assert leader.asked == [1, 4], "the sixth had to wait for one of them"
+    assert leader.asked == [1, 4], "the sixth had to wait until one of the requests ended"
 
 
 def test_several_forwarded_reports_are_answered_as_each_would_be_alone() -> None:
@@ -120,7 +128,7 @@
         status, answer = await world.send(
             "perch-9", f"10.0.0.{other}:2", "POST", PEER_HEARTBEATS, {"beats": reports}, 4.0
         )
-        assert (status, set(answer["answers"])) == (200, {None}), "who does not lead has no answer"
+        assert (status, set(answer["answers"])) == (200, {None}), "a controller that does not lead answers none"
         assert (await world.send("x", f"10.0.0.{other}:2", "POST", PEER_HEARTBEATS, {"beats": 3}, 4.0))[0] == 400
 
     story(tell)
