--- a/tests/test_size.py
+++ b/tests/test_large_clusters.py
@@ -1,4 +1,4 @@
-"""Seven controllers, hundreds of machines: operations are counted, never seconds of the test's own."""
+"""Seven controllers and hundreds of machines: tests count operations or virtual time, never their own run time."""
 
 import copy
 import random
@@ -29,6 +29,7 @@
 
 
 def planner_of(machines: list[Machine], *jobs: dict[str, Any]) -> Planner:
+    """A planner for these jobs and machines, of a team with a limit that no test reaches."""
     params = settings_of(0).params
     params.objectives = [Objective("wait", "x", 250.0)]
     params.teams[0].cpus_max = 1e6
@@ -40,56 +41,58 @@
     return Planner(cluster, Tuning())
 
 
-def test_a_job_looks_at_every_machine_once_not_once_a_task(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Seen: 1400 tasks on 400 machines took 1.7 s to place, and submissions waited for it."""
-    looks = 0
+def test_placing_a_job_ranks_every_machine_once_not_once_per_task(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Failure: placing 1400 tasks on 400 machines took 1.7 s, and submissions waited for it."""
+    rankings = 0
 
-    def counted(*args: Any) -> Any:
-        nonlocal looks
-        looks += 1
+    def counting(*args: Any) -> Any:
+        nonlocal rankings
+        rankings += 1
         return rank(*args)
 
     rank = placement.rank
-    monkeypatch.setattr(placement, "rank", counted)
+    monkeypatch.setattr(placement, "rank", counting)
     machines = [machine(f"n-{n}", ZONES[n % 3]) for n in range(400)]
     planner = planner_of(machines, job(1, pieces=300), job(2, pieces=300))
     planner.place_all(1.0)
     assert sum(len(m.attempts) for m in machines) == 600
-    assert looks <= 2 * 400 + 3 * 600
-    looks = 0
+    assert rankings <= 2 * 400 + 3 * 600
+    rankings = 0
     planner.cluster.add_job(wire.convert(job(3, pieces=2, cores=8.0), wire.JobSpec), 12, 0.0, set())
     for one in machines:
         one.free_cpus = min(one.free_cpus, 4.0)
     planner.place_all(2.0)
-    assert looks == 0, "nobody has room for it"
+    assert rankings == 0, "no machine has room for it"
 
 
-def test_tasks_that_may_use_spot_machines_go_there_before_they_go_to_their_image() -> None:
-    dear, cheap = machine("dear"), machine("cheap", spot=True)
+def test_tasks_that_may_use_spot_machines_prefer_them_to_machines_with_their_image() -> None:
+    ordinary, spot = machine("dear"), machine("cheap", spot=True)
     sweep, board = spec_of(1, loaners=True), spec_of(2, shape="daemon")
-    dear.used_image(sweep.image, sweep.image_gb)
-    for spec, best in ((sweep, cheap), (board, dear)):
+    ordinary.used_image(sweep.image, sweep.image_gb)
+    for spec, best in ((sweep, spot), (board, ordinary)):
         one = Job(spec, 1, 0.0, False)
-        assert placement.Candidates(one, [dear, cheap], ZONES, lambda m: True, 250.0).best() is best
-    assert placement.Candidates(Job(sweep, 1, 0.0, False), [dear, cheap], ZONES, lambda m: True, 0.5).best() is dear, (
-        "no time to fetch"
-    )
+        assert placement.Candidates(one, [ordinary, spot], ZONES, lambda m: True, 250.0).best() is best
+    assert (
+        placement.Candidates(Job(sweep, 1, 0.0, False), [ordinary, spot], ZONES, lambda m: True, 0.5).best() is ordinary
+    ), "no time to fetch the image"
 
 
-def test_small_tasks_leave_large_machines_to_those_that_fit_nowhere_else() -> None:
-    """Seen: small alerts on the medium spot machines that hold their image, and large sweeps on dear ordinary ones."""
+def test_small_tasks_leave_large_machines_to_tasks_that_fit_nowhere_else() -> None:
+    """Failure: small tasks took medium spot machines with their image, and large ones expensive ordinary machines."""
     large = machine("large", spot=True)
     small = Machine(
         "small", wire.MachineType("m4", 4.0, 0.0, 16.0, 20.0, 1.0, 0.6, 0.2, 9.0, ["a"]), "a", True, "", Status.UP, 0.0
     )
-    alert = Job(spec_of(1, loaners=True), 1, 0.0, False)
-    large.used_image(alert.spec.image, alert.spec.image_gb)
-    assert placement.Candidates(alert, [large, small], ZONES, lambda m: True, 12.0).best() is small
-    assert placement.Candidates(alert, [large, small], ZONES, lambda m: True, 0.5).best() is large, "no time to fetch"
+    small_task = Job(spec_of(1, loaners=True), 1, 0.0, False)
+    large.used_image(small_task.spec.image, small_task.spec.image_gb)
+    assert placement.Candidates(small_task, [large, small], ZONES, lambda m: True, 12.0).best() is small
+    assert placement.Candidates(small_task, [large, small], ZONES, lambda m: True, 0.5).best() is large, (
+        "no time to fetch"
+    )
 
 
-def test_replicas_that_fetch_their_image_leave_room_where_it_is_then() -> None:
-    """Seen: 42 machines held an image, all full of replicas, and 600 places free where it was not."""
+def test_replicas_that_fetch_their_image_are_spread_over_several_machines() -> None:
+    """Failure: all 42 machines that held an image were full of replicas, and 600 places were free elsewhere."""
     homes = [machine(f"n-{n}") for n in range(4)]
     for n, home in enumerate(homes):
         run_on(home, Job(spec_of(90 + n, shape="daemon", bundle="other"), 1, 0.0, False), n)
@@ -98,23 +101,23 @@
     assert [len(home.attempts) for home in homes] == [2, 2, 2, 2]
 
 
-def test_nothing_dear_is_rented_for_patient_work_beyond_a_guarantee() -> None:
+def test_no_ordinary_machine_is_rented_for_work_with_slack_beyond_its_guarantee() -> None:
     planner = planner_of([machine("full")], job(1, pieces=5, cores=4.0, loaners=True, expected_s=5.0))
     run_on(planner.cluster.machines["full"], Job(spec_of(9, cores=8.0, shape="daemon"), 1, 0.0, False), 0)
     planner.place_all(1.0)
     assert not planner.inside and planner.needs
     assert {offer.spot for offer in planner.rent(1.0)} == {True}
     planner.blocked = {Offer("m8", zone, True): 1e9 for zone in "ab"}
-    assert planner.rent(1.0) == [], "it waits for spot machines"
+    assert planner.rent(1.0) == [], "it waits for spot capacity"
     planner.place_all(240.0)
-    assert {offer.spot for offer in planner.rent(240.0)} == {False}, "it would be late"
+    assert {offer.spot for offer in planner.rent(240.0)} == {False}, "otherwise it would be late"
 
 
-def test_room_for_replicas_is_rented_where_it_counts_only() -> None:
-    """Seen: five dear machines rented one after the other as spare room, none of which was counted as such."""
-    dear = wire.MachineType("m64", 64.0, 0.0, 256.0, 20.0, 1.0, 4.0, 1.0, 1.0, ["a", "b"])
+def test_spare_room_is_rented_only_on_machines_where_it_counts() -> None:
+    """Failure: five expensive machines were rented one by one as spare room, and none of them counted as such."""
+    expensive = wire.MachineType("m64", 64.0, 0.0, 256.0, 20.0, 1.0, 4.0, 1.0, 1.0, ["a", "b"])
     planner = planner_of([machine("full")], job(1, shape="daemon", pieces=16, cores=4.0))
-    planner.cluster.types[dear.name] = dear
+    planner.cluster.types[expensive.name] = expensive
     board = next(iter(planner.cluster.jobs.values()))
     board.waiting.clear()
     planner.place_all(1.0)
@@ -122,8 +125,8 @@
     assert chosen and {offer.type for offer in chosen} == {"m8"}
 
 
-def test_guaranteed_work_on_ordinary_machines_only_need_not_wait_for_spare_room() -> None:
-    """Seen: a step of two tasks waited 78 s, and its pipeline was late, while room was kept for replicas."""
+def test_guaranteed_work_that_needs_ordinary_machines_may_use_spare_room() -> None:
+    """Failure: a job of two tasks waited 78 s, and its pipeline was late, while spare room was kept for replicas."""
     for loaners, placed in ((True, 0), (False, 2)):
         home = machine("home")
         planner = planner_of([home], job(1, pieces=2, loaners=loaners), job(8, cores=4.0, shape="daemon", pieces=9))
@@ -135,7 +138,7 @@
 
 
 def test_nothing_is_rented_in_a_zone_that_is_cut_off() -> None:
-    """Seen: 40 machines rented in a zone that was cut off, paid for, and never heard of."""
+    """Failure: 40 machines were rented in a zone that was cut off; they were paid for and never reported."""
     machines = [machine(f"n-{n}", "ab"[n % 2]) for n in range(8)]
     planner = planner_of(machines, job(1, pieces=90))
     for one in machines:
@@ -148,8 +151,8 @@
     assert {offer.zone for offer in planner.rent(101.0)} == {"a"}
 
 
-def test_idle_machines_go_although_others_wait_for_what_they_are_not() -> None:
-    """Seen: 80 idle small machines kept for five minutes, since large tasks waited that fit on none of them."""
+def test_idle_machines_are_returned_although_tasks_wait_that_do_not_fit_on_them() -> None:
+    """Failure: 80 idle small machines were kept for five minutes, since large tasks waited that fit on none of them."""
     planner = planner_of([machine("idle")], job(1, pieces=2, cores=8.0, memory_gb=64.0, loaners=True))
     idle = planner.cluster.machines["idle"]
     idle.idle_since, idle.last_report_at = 0.0, 100.0
@@ -159,33 +162,33 @@
     idle.quarantined = True
     planner.place_all(100.0)
     idle.quarantined = False
-    assert planner.idle(100.0) == [], "it is waited for"
+    assert planner.idle(100.0) == [], "a waiting task fits on it"
 
 
-def test_a_cheap_idle_machine_is_kept_as_much_longer_as_it_is_cheaper() -> None:
-    """Seen: cheap machines returned after 30 s, and the next alerts waited 35 s for new ones."""
-    dear, cheap = machine("dear"), machine("cheap", spot=True)
-    planner = planner_of([dear, cheap])
-    dear.idle_since = cheap.idle_since = 0.0
-    assert planner.idle(70.0) == [dear]
-    assert planner.idle(30.0 * 1.0 / 0.3 + 1.0) == [dear, cheap]
+def test_an_idle_machine_is_kept_the_longer_the_cheaper_it_is() -> None:
+    """Failure: cheap machines were returned after 30 s, and the next tasks waited 35 s for new ones."""
+    ordinary, spot = machine("dear"), machine("cheap", spot=True)
+    planner = planner_of([ordinary, spot])
+    ordinary.idle_since = spot.idle_since = 0.0
+    assert planner.idle(70.0) == [ordinary]
+    assert planner.idle(30.0 * 1.0 / 0.3 + 1.0) == [ordinary, spot]
 
 
-def test_in_a_crowd_what_is_late_anyway_yields_to_what_is_not() -> None:
-    """Seen: a burst that no fleet could serve in time, and strict order of arrival made every job late."""
+def test_under_overload_jobs_that_are_already_late_yield_to_those_that_are_not() -> None:
+    """Failure: in a burst beyond what any fleet could serve in time, strict order of arrival made every job late."""
     planner = planner_of([machine("full")], *(job(n, pieces=6) for n in range(3)))
     planner.cluster.params.objectives = [Objective("wait", "x", 8.0), Objective("wait", "x", 60.0)]
     late, later, fresh = planner.cluster.jobs.values()
     late.since, later.since, fresh.since = 0.0, 55.0, 98.0
-    assert planner.ordered(100.0) == [fresh, later, late], "also before the one within the guarantee"
-    assert planner.ordered(113.0)[0] is later, "two seconds from its next aim"
+    assert planner.ordered(100.0) == [fresh, later, late], "also before the job within the guarantee"
+    assert planner.ordered(113.0)[0] is later, "two seconds before its next objective is missed"
     later.ran = True
     assert planner.ordered(100.0) == [fresh, late, later], "what has run keeps its place behind the guaranteed"
-    assert planner.ordered(121.0)[0] is late, "twice its longest aim"
+    assert planner.ordered(121.0)[0] is late, "it has waited twice its longest objective"
 
 
-def drawn_needs(rng: random.Random) -> list[Need]:
-    """Jobs of all kinds that wait, some for little, some bound to a zone, a type or spot machines."""
+def random_needs(rng: random.Random) -> list[Need]:
+    """Waiting jobs of all kinds, some small, some bound to a zone or a machine type, some allowed on spot machines."""
     needs = []
     for n in range(rng.randint(1, 12)):
         spec = spec_of(
@@ -201,11 +204,11 @@
     return needs
 
 
-def test_room_that_is_coming_is_reckoned_as_if_every_pair_was_looked_at() -> None:
-    """Hundreds boot while hundreds of jobs wait: it is found out sooner which do not fit, and nothing else changes."""
+def test_room_on_booting_machines_is_assigned_as_if_every_pair_was_compared() -> None:
+    """Of hundreds of booting machines and waiting jobs, pairs that do not fit are skipped early, at the same result."""
     for seed in range(300):
         rng = random.Random(seed)
-        needs, plain = drawn_needs(rng), drawn_needs(random.Random(seed))
+        needs, plain = random_needs(rng), random_needs(random.Random(seed))
         kinds = [("m8", 8.0, 0.0, 32.0), ("g2", 24.0, 2.0, 96.0), ("m8", 3.0, 0.0, 2.0)]
         bins = [
             Bin(Offer(kind[0], rng.choice(ZONES), rng.random() < 0.4), *kind[1:])
@@ -230,7 +233,7 @@
         assert [(r.cpus, r.gpus, r.memory_gb) for r in bins] == [(r.cpus, r.gpus, r.memory_gb) for r in alike]
 
 
-def test_places_that_come_free_are_reckoned_as_if_all_were_looked_at() -> None:
+def test_places_that_become_free_are_assigned_as_if_all_were_compared() -> None:
     for seed in range(200):
         rng = random.Random(seed)
         machines = [machine(f"n-{n}", rng.choice(ZONES), rng.random() < 0.4) for n in range(6)]
@@ -242,7 +245,7 @@
             one.last_report_at = one.reached_at = one.heartbeat_at = 100.0
             for attempt in one.attempts.values():
                 attempt.running_at = rng.choice([None, 40.0, 99.0])
-        needs = drawn_needs(rng)
+        needs = random_needs(rng)
         plain = copy.deepcopy(needs)
         places = [
             supply.Place(a.machine, a.job.spec, supply.remaining_s(a, 100.0))
@@ -257,8 +260,8 @@
         assert [n.count for n in needs] == [n.count for n in plain], seed
 
 
-def test_idle_machines_are_returned_one_by_one_the_poorest_first() -> None:
-    """Seen: all idle machines were judged against the same sum, returned together, and rented again."""
+def test_idle_machines_are_returned_one_by_one_the_least_useful_first() -> None:
+    """Failure: all idle machines were judged against the same total, returned together, and rented again."""
     idle = [machine(f"n-{n}") for n in range(4)]
     planner = planner_of([*idle, machine("busy")], job(1, shape="daemon", pieces=5, cores=4.0, pull_gb=9.0))
     planner.cluster.params.objectives = [Objective("wait", "x", 2.0)]
@@ -271,10 +274,10 @@
     for one in planner.cluster.machines.values():
         one.last_report_at = one.reached_at = one.heartbeat_at = 100.0
     planner.place_all(100.0)
-    assert planner.idle(100.0) == [idle[1]], "five places are wanted, and those where the image is"
+    assert planner.idle(100.0) == [idle[1]], "five places are wanted, first of all where the image is"
 
 
-def test_seven_nodes_lose_four_and_go_on() -> None:
+def test_the_remaining_three_of_seven_nodes_go_on() -> None:
     async def tell(world: World) -> None:
         board, sweep = job(1, shape="daemon", pieces=4), job(2, pieces=6)
         await world.submit(board)
@@ -290,7 +293,7 @@
     story(tell, 7)
 
 
-def test_hundreds_of_machines_are_fenced_a_bounded_number_at_once() -> None:
+def test_hundreds_of_machines_are_fenced_a_bounded_number_at_a_time() -> None:
     async def tell(world: World) -> None:
         for number in range(200):
             world.cloud.create(ZONES[number % 3])
@@ -298,7 +301,7 @@
         flying = most = asked = 0
         send = world.send
 
-        async def counted(source: str, addr: str, method: str, path: str, body: Any, deadline: float) -> Any:
+        async def counting(source: str, addr: str, method: str, path: str, body: Any, deadline: float) -> Any:
             nonlocal flying, most, asked
             fences = path == "/commands" and not body["orders"]
             flying, asked = flying + fences, asked + fences
@@ -308,20 +311,20 @@
             finally:
                 flying -= fences
 
-        world.send = counted  # type: ignore[method-assign]
+        world.send = counting  # type: ignore[method-assign]
         world.kill(world.leader())
         await world.until(
             lambda: any(n.leader and n.leader.ready and not n.leader.cluster.unverified for n in world.nodes.values()),
             6,
         )
         assert 0 < most <= c.FENCE_AT_ONCE
-        assert asked <= 200, "one request a machine"
+        assert asked <= 200, "one request per machine"
 
     story(tell)
 
 
-def test_a_leader_fences_through_others_what_it_cannot_reach() -> None:
-    """Seen: a new leader apart from a zone waited 12 s for that zone's reports to be passed on."""
+def test_a_leader_fences_a_machine_that_it_cannot_reach_through_other_nodes() -> None:
+    """Failure: a new leader that was cut off from a zone waited 12 s for reports of that zone to be relayed."""
 
     async def tell(world: World) -> None:
         for zone in ZONES:
@@ -343,8 +346,8 @@
     story(tell)
 
 
-def test_a_machine_that_died_while_nobody_led_delays_older_tasks_for_seconds_only() -> None:
-    """Seen: 12 s, since the others were asked about it late, and one after the other."""
+def test_a_machine_that_died_while_nobody_led_delays_tasks_only_for_seconds() -> None:
+    """Failure: the delay was 12 s, since the other controllers were asked about the machine late and one by one."""
 
     async def tell(world: World) -> None:
         for number in range(6):
@@ -360,7 +363,7 @@
     story(tell)
 
 
-def test_bodies_and_reports_of_the_largest_size_are_taken_and_no_larger_ones() -> None:
+def test_bodies_and_reports_of_the_largest_size_are_accepted() -> None:
     async def tell(world: World) -> None:
         one = job(1)
         one["note"] = "x" * (c.MAX_BODY_BYTES - len(orjson.dumps({**one, "note": ""})))
@@ -376,14 +379,14 @@
         body = orjson.dumps(beat)
         assert c.MAX_BODY_BYTES - 6000 < len(body) <= c.MAX_BODY_BYTES
         answer = await node.handle(Request("POST", "/agent/beat", body))
-        assert answer.status == 200 and len(answer.body["orders"]) == count, "all are to be reaped"
+        assert answer.status == 200 and len(answer.body["orders"]) == count, "there is one order to reap each task"
         beat["pieces"][0]["status"] = "dancing"
         assert (await node.handle(Request("POST", "/agent/beat", orjson.dumps(beat)))).status == 400
 
     story(tell)
 
 
-def test_what_cannot_be_taken_in_time_is_answered_at_once() -> None:
+def test_a_submission_that_cannot_be_written_in_time_is_refused_at_once() -> None:
     async def main() -> None:
         class Watched:
             replica = Replica()
@@ -409,7 +412,10 @@
 
 
 class SlowState:
-    """Answers transactions at once, but the first after two seconds."""
+    """A state service that answers the first transaction after 1.9 s and all others at once.
+
+    `share`: how many writes it says may be made within any time.
+    """
 
     share = 5
 
@@ -426,7 +432,7 @@
         return Outcome(self.asked)
 
 
-def test_one_slow_transaction_holds_up_no_other_submission() -> None:
+def test_one_slow_transaction_delays_no_other_submission() -> None:
     async def main() -> None:
         class Watched:
             replica = Replica()
@@ -448,10 +454,10 @@
     return orjson.dumps(job(number))
 
 
-def test_a_crowd_that_nobody_can_serve_is_looked_at_rarely_and_a_newcomer_at_once(
+def test_jobs_without_room_are_planned_rarely_and_a_new_job_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Rounds are slow here: without a rest by their length, looks for what time alone may change took a whole share."""
+    """Rounds are slow here: without pauses in proportion to them, planning took the whole CPU share with no change."""
 
     async def tell(world: World) -> None:
         world.cloud.capacity.clear()
