--- a/tests/acceptance/served.py
+++ b/tests/acceptance/served.py
@@ -20,14 +20,16 @@
 import msgspec
 
 LEAST = 0.5  # share; the operators count a day below it as failed
-LARGEST = 0.1  # share of a class's jobs, by their tasks
-BEGIN_S = 240.0  # s; so soon the largest have to begin
+LARGEST = 0.1  # share of a class's jobs: those with the most tasks
+BEGIN_S = 240.0  # s after it is ready; by then each of the largest jobs must begin
 AT = r"^\s*(?P<at>[\d.]+) .*\b"
 JOB = re.compile(AT + r"job (?P<id>run-\S+): .* of (?P<tasks>\d+) x .*, (?P<class>\S+) for (?P<team>\S+)\s*$")
 PLACE = re.compile(AT + r"place (?P<id>run-[^/\s]+)/(?P<task>\d+) try ")
 
 
 class Class(msgspec.Struct):
+    """A class of jobs in the report. `up`: share of replica time, of services only."""
+
     jobs: int
     accepted: int
     started: int
@@ -35,11 +37,15 @@
 
 
 class Team(msgspec.Struct):
+    """A team in the report; also the largest jobs of a class."""
+
     jobs: int
     started: int
 
 
 class Report(msgspec.Struct):
+    """What is read of the bench's report. `largest`: by class; `ends_s`: when the day ended, in seconds."""
+
     classes: dict[str, Class]
     teams: dict[str, Team]
     largest: dict[str, Team]
@@ -47,11 +53,13 @@
 
 
 class Unreadable(Exception):
-    """What, and why."""
+    """A file could not be read, or lacks something; the text names the file and the reason."""
 
 
 @dataclass(frozen=True)
 class Served:
+    """The share of its jobs that one class, team or pair of both got served. Below `least` it is too low."""
+
     kind: str
     name: str
     jobs: int
@@ -60,6 +68,7 @@
 
     @property
     def said(self) -> str:
+        """What is printed behind a row that is too low."""
         return "  BELOW HALF" if self.least == LEAST else "  NOT ALL BEGAN WITHIN FOUR MINUTES"
 
     @property
@@ -79,7 +88,7 @@
     return report
 
 
-def of_report(report: Report) -> Iterator[Served]:
+def rows_of_report(report: Report) -> Iterator[Served]:
     for name, seen in report.classes.items():
         share = min(min(seen.accepted, seen.started) / max(1, seen.jobs), seen.up)
         yield Served("class", name, seen.jobs, share)
@@ -91,7 +100,7 @@
 
 @dataclass
 class Logged:
-    """A job as the leaders' lines tell of it."""
+    """A job as the leaders' log lines show it. Times: seconds of the log; `placed`: numbers of its placed tasks."""
 
     tasks: int
     name: str
@@ -101,8 +110,8 @@
     placed: set[int] = field(default_factory=set)
 
 
-def of_log(lines: Iterable[str]) -> dict[str, Logged]:
-    """The jobs that a leader knew to be ready; a later leader's line of the same job says nothing new."""
+def jobs_of_log(lines: Iterable[str]) -> dict[str, Logged]:
+    """The ready jobs by ID. Each leader logs a job once; only the first of these lines counts."""
     jobs: dict[str, Logged] = {}
     for line in lines:
         if found := JOB.search(line):
@@ -116,7 +125,7 @@
 
 
 def pairs(jobs: Iterable[Logged]) -> Iterator[Served]:
-    """Those of which every task was placed at some time."""
+    """For each pair of class and team: the share of its jobs of which every task was placed at some time."""
     counts: dict[str, list[int]] = defaultdict(lambda: [0, 0])
     for job in jobs:
         count = counts[f"{job.name} for {job.team}"]
@@ -127,7 +136,10 @@
 
 
 def begun(jobs: Iterable[Logged], ends_s: float) -> Iterator[Served]:
-    """Of the largest jobs of each class, those that began in time; what had no time left before the end counts not."""
+    """For each class: the share of its largest jobs that began within `BEGIN_S`.
+
+    A job that had not begun is left out if fewer than `BEGIN_S` seconds were left before the end.
+    """
     classes: dict[str, list[Logged]] = defaultdict(list)
     for job in jobs:
         classes[job.name].append(job)
@@ -138,10 +150,11 @@
         yield Served("begun", name, len(large), soon / max(1, len(large)), least=1.0)
 
 
-def logged(path: Path, report: Report) -> list[Served]:
+def rows_of_log(path: Path, report: Report) -> list[Served]:
+    """What the log shows; raises Unreadable if it lacks a class of which the report counts accepted jobs."""
     try:
         with path.open(errors="replace") as file:
-            jobs = of_log(file)
+            jobs = jobs_of_log(file)
     except OSError as error:
         raise Unreadable(f"{path}: {error}") from error
     seen = {job.name for job in jobs.values()}
@@ -158,7 +171,7 @@
     said = parser.parse_args(words)
     try:
         report = read(said.report)
-        rows = [*of_report(report), *(logged(said.log, report) if said.log else ())]
+        rows = [*rows_of_report(report), *(rows_of_log(said.log, report) if said.log else ())]
     except Unreadable as error:
         print(error, file=sys.stderr)
         return 2
--- a/tests/acceptance/test_sockets.py
+++ b/tests/acceptance/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Sockets by need: more machines than connections, and users who would keep workers out."""
+"""Limits on connections: more machines than a controller may connect to, and users who crowd out workers."""
 
 from collections.abc import Awaitable, Callable
 
@@ -13,7 +13,7 @@
 
 
 def with_servers(count: int, most: int, tell: Callable[[list[str], list[Server]], Awaitable[None]]) -> None:
-    """`tell` gets the addresses of so many servers, each of which holds `most` connections."""
+    """Run `tell` with the addresses of `count` servers, each of which accepts at most `most` connections."""
 
     async def answer(request: Request) -> Response:
         return Response(200, {"path": request.path})
@@ -31,17 +31,17 @@
     trio.run(main)
 
 
-def test_a_connection_that_nobody_uses_makes_room_for_another_partner() -> None:
-    """With more machines than connections, the first hundreds that were asked kept all others from being asked."""
+def test_an_idle_connection_is_closed_to_make_room_for_another_address() -> None:
+    """Failure: with more machines than connections, the first hundreds contacted kept the others from contact."""
 
     async def tell(addrs: list[str], servers: list[Server]) -> None:
         network = HttpNetwork(2)
         for addr in [*addrs, *addrs]:
             assert (await network.request(addr, "GET", "/x"))[0] == 200
-        assert [link.addr for link in network._resting] == addrs[1:], "the longest unused goes first"
+        assert [link.addr for link in network._resting] == addrs[1:], "the longest idle is closed first"
         network.drop_idle()
-        assert network._open == 2, "they are young"
-        assert sorted(network._idle) == sorted(addrs[1:]), "nothing is kept of a partner without an idle connection"
+        assert network._open == 2, "they have not been idle for long"
+        assert sorted(network._idle) == sorted(addrs[1:]), "no entry is kept for an address without an idle connection"
         used = HttpNetwork(1)
         await used.request(addrs[0], "GET", "/x")
         await used._link(addrs[0], 1.0)
@@ -52,7 +52,7 @@
     with_servers(3, 10, tell)
 
 
-def test_users_connections_end_before_workers_are_refused() -> None:
+def test_users_connections_are_closed_before_workers_are_refused() -> None:
     async def tell(addrs: list[str], servers: list[Server]) -> None:
         users, workers = ([HttpNetwork(1) for _ in range(8)] for _ in "ab")
         for user in users:
--- a/tests/acceptance/test_back_at_once.py
+++ b/tests/acceptance/test_fast_restarts.py
@@ -1,4 +1,4 @@
-"""Processes that end are back within a fraction of a second, at every step; late copies of old messages follow."""
+"""Controllers and workers restart within a second at any step, and late copies of earlier messages arrive."""
 
 from collections.abc import Awaitable, Callable
 
@@ -16,13 +16,13 @@
 from tests.fakes import CANCEL_S, LEASE_S, NODES, REPORT_S, World, job, story
 from tests.test_edges import machine, spec_of
 
-BACK_S = (0.0, 0.05, 0.2, 0.9)  # s
-CANCEL_LATE_S = CANCEL_S + 1  # s; past the bound within which a cancelled task may still be on a machine
-Step = Callable[[World, float], Awaitable[None]]
+BACK_S = (0.0, 0.05, 0.2, 0.9)  # s; from the end of a process to its restart
+CANCEL_LATE_S = CANCEL_S + 1  # s; by then no cancelled task may be on a machine any more
+Step = Callable[[World, float], Awaitable[None]]  # restarts processes; the number: after how many seconds
 
 
 async def election(world: World, back: float) -> None:
-    """The leader, and whoever is about to win in its place."""
+    """The leader restarts, then all controllers while they are electing the next one."""
     await world.bounce(world.leader(), back)
     await trio.sleep(c.LEADER_LEASE_MS / 1000)
     for index in list(world.nodes):
@@ -30,7 +30,7 @@
 
 
 async def hand_over(world: World, back: float) -> None:
-    """A leader that reaches nobody hands over; it and the next one end meanwhile."""
+    """A leader that reaches neither workers nor followers hands over; it and the next leader restart meanwhile."""
     leader = world.leader()
     for worker in world.workers:
         world.cut(worker.name, NODES[leader], "hold")
@@ -43,7 +43,7 @@
 
 
 async def fencing(world: World, back: float) -> None:
-    """A takeover with half of its machines fenced."""
+    """A new leader restarts when it has fenced only half of its machines."""
     hidden = world.workers[0]
     old = world.leader()
     for index in world.nodes:
@@ -58,7 +58,7 @@
 
 
 async def unanswered(world: World, back: float) -> None:
-    """Launches are carried out, and nobody hears of it."""
+    """Launches are carried out, but their answers are lost, and the leader restarts."""
     for worker in world.workers:
         world.cut(NODES[world.leader()], worker.name, "mute", both=False)
     await world.submit(job(8, pieces=2, cores=1.0, expected_s=20.0), min(set(world.nodes) - {world.leader()}))
@@ -69,7 +69,7 @@
 
 
 async def outage(world: World, back: float) -> None:
-    """Nobody can be elected, and whoever might stand in has just begun."""
+    """All controllers restart during an outage of the state service: none can be elected or stand in for the leader."""
     world.state.out = True
     await trio.sleep(1)
     for index in list(world.nodes):
@@ -79,7 +79,7 @@
 
 
 async def held(world: World, back: float) -> None:
-    """What was sent to the life before, and by it, arrives when the next one leads."""
+    """Messages to and from the leader are held, it restarts, and they arrive when the next leader is ready."""
     leader = world.leader()
     for name in [w.name for w in world.workers] + ["state"]:
         world.cut(NODES[leader], name, "hold", both=name != "state")
@@ -92,12 +92,14 @@
 
 
 async def everybody(world: World, back: float) -> None:
+    """All controllers restart at the same time."""
     async with trio.open_nursery() as nursery:
         for index in list(world.nodes):
             nursery.start_soon(world.bounce, index, back)
 
 
 async def ten_times(world: World, back: float) -> None:
+    """The same controller, at first the leader, restarts ten times, a second apart."""
     index = world.leader()
     for _ in range(10):
         await world.bounce(index, back)
@@ -106,7 +108,7 @@
 
 @pytest.mark.parametrize("back", BACK_S)
 @pytest.mark.parametrize("step", [election, hand_over, fencing, unanswered, outage, held, everybody, ten_times])
-def test_whoever_ends_is_back_at_once_and_work_goes_on(step: Step, back: float) -> None:
+def test_work_goes_on_when_controllers_restart_at_once(step: Step, back: float) -> None:
     async def tell(world: World) -> None:
         world.copies = []
         service = job(1, shape="daemon", pieces=2, expected_s=0.0)
@@ -116,7 +118,7 @@
             await world.submit(body)
         await world.until(lambda: world.running(service) == 2 and world.running(gang) == 2, 60)
         await step(world, back)
-        for item in world.copies:  # of all that was carried out
+        for item in world.copies:  # a second copy of all that was carried out
             if item.link[1] in {w.name for w in world.workers} or item.link[1] == "cloud":
                 world.nursery.start_soon(world.deliver, item)
         await world.until(lambda: world.state.job_state("run-000002") == "done", 60)
@@ -130,8 +132,8 @@
     story(tell)
 
 
-def test_a_leader_that_is_back_at_once_ends_its_own_earlier_term() -> None:
-    """Nobody else could: its lease would go on for seconds, with its name in the key."""
+def test_a_leader_that_restarts_ends_its_own_earlier_term() -> None:
+    """No other controller could: its lease, and with it its name in the key, would last for seconds."""
 
     async def tell(world: World) -> None:
         await trio.sleep(1)
@@ -144,7 +146,7 @@
 
 
 class SlowGrant:
-    """A state service whose grants take long to be answered, and whose transactions may be lost."""
+    """A state service that takes `seconds` to grant a lease; `lose`: transactions get no answer."""
 
     def __init__(self, seconds: float, lose: bool) -> None:
         self.seconds, self.lose, self.given_back = seconds, lose, []  # type: ignore[var-annotated]
@@ -163,7 +165,7 @@
 
 
 @pytest.mark.parametrize("lose", [False, True])
-def test_a_term_is_sure_no_longer_than_its_lease_however_slow_its_grant(lose: bool) -> None:
+def test_a_term_counts_from_the_request_for_its_lease_even_if_the_grant_is_slow(lose: bool) -> None:
     async def tell() -> None:
         replica = Replica()
         replica.loaded = True
@@ -173,7 +175,7 @@
         if lose:
             with pytest.raises(Unsure):
                 await leadership._win()
-            assert state.given_back == [7], "or nobody would lead until it ends"
+            assert state.given_back == [7], "otherwise nobody could lead until it expires"
             return
         term = await leadership._win()
         assert term is not None
@@ -182,8 +184,8 @@
     trio.run(tell, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_who_promised_not_to_stand_in_and_began_anew_keeps_the_promise() -> None:
-    """The leader counts on it for as long as it was given, and the next life knows nothing of it."""
+def test_a_follower_that_restarts_keeps_its_promise_not_to_stand_in() -> None:
+    """The leader relies on the promise until it ends, but the restarted process does not remember it."""
 
     async def tell(world: World) -> None:
         service = job(1, shape="daemon", pieces=1, expected_s=0.0)
@@ -194,7 +196,7 @@
         await world.bounce(index, 0.0)
         reports = world.nodes[index].heartbeats
         await world.until(lambda: reports.leader_contact.token > 0, 5)
-        reports._state.good_at = reports._renewal_revoked_until = float("-inf")  # no state service, no leader heard
+        reports._state.good_at = reports._renewal_revoked_until = float("-inf")  # no state service and no leader heard
         reports._replica.current_at = trio.current_time()
         shown = report(1, 1, token=reports.leader_contact.token)
         assert not reports._may_renew_lease(shown)
@@ -205,18 +207,18 @@
     story(tell)
 
 
-def test_a_worker_that_counts_from_the_beginning_is_returned_and_a_late_report_is_only_late() -> None:
+def test_a_worker_that_restarts_with_an_earlier_session_is_returned_and_a_late_report_is_ignored() -> None:
     one = machine("n-1")
     cluster = cluster_of(one)
     cluster.on_report(report(2, 40), 10.0, heartbeat=True)
     cluster.on_report(report(1, 7), 11.0, heartbeat=True)
     cluster.on_report(report(2, 39), 12.0, heartbeat=False, asked_at=9.5)
-    assert one.status is Status.UP, "late, or asked before the newest came"
+    assert one.status is Status.UP, "a report came late, or was asked for before the newest one came"
     cluster.on_report(report(1, 2), 13.0, heartbeat=False, asked_at=12.5)
     assert (one.status, one.name in cluster.to_release) == (Status.LEAVING, True)
 
 
-def test_a_machine_that_is_back_at_once_with_nothing_left_is_replaced() -> None:
+def test_a_machine_that_reboots_at_once_without_its_tasks_is_replaced() -> None:
     async def tell(world: World) -> None:
         for zone in ("a", "b", "c"):
             world.cloud.create(zone)
@@ -232,8 +234,8 @@
     story(tell)
 
 
-def test_a_copy_of_a_launch_that_was_answered_starts_nothing_again() -> None:
-    """A task that was stopped, and taken off its machine's list, would start there once more."""
+def test_a_late_copy_of_an_answered_launch_starts_nothing() -> None:
+    """Otherwise a task that was stopped and reaped would start again on its machine."""
 
     async def tell(world: World) -> None:
         world.copies = []
@@ -252,7 +254,7 @@
     story(tell)
 
 
-def test_what_was_launched_directly_is_taken_off_the_list_when_no_copy_can_come() -> None:
+def test_a_directly_launched_task_is_reaped_only_when_no_copy_of_its_launch_can_arrive() -> None:
     one = machine("n-1")
     cluster = cluster_of(one)
     cluster.on_report(report(1, 1), 1.0, heartbeat=True)
@@ -261,8 +263,8 @@
     row = {"piece": held.name, "try": held.number, "status": "ended", "cause": Cause.STOPPED.value}
     cluster.on_report(report(1, 2, pieces=[row]), 2.0, heartbeat=True)
 
-    def reaped(now: float) -> bool:
+    def is_reaped(now: float) -> bool:
         return any(order["verb"] == "reap" for order in cluster.orders_for_heartbeat(one, True, now))
 
-    assert not reaped(3.0)
-    assert reaped(3.0 + c.COPIES_S)
+    assert not is_reaped(3.0)
+    assert is_reaped(3.0 + c.COPIES_S)
--- a/tests/acceptance/test_tools.py
+++ b/tests/acceptance/test_tools.py
@@ -1,4 +1,4 @@
-"""The tools of the acceptance checks: what they count, and that a mistake is never a pass."""
+"""The tools of the acceptance checks: what they count, and that wrong or missing input never counts as a pass."""
 
 import json
 import tomllib
@@ -47,7 +47,7 @@
     return tmp_path / "lab.toml"
 
 
-def test_a_variant_has_more_machines_and_faster_ends_and_what_the_bench_needs(site: Path) -> None:
+def test_a_variant_has_the_changed_numbers_and_the_files_that_the_bench_needs(site: Path) -> None:
     target = site.parent / "more"
     changes = {"--machines": "1.5", "--restart-delay": "0.2", "--arrivals": "2", "--controllers": "5"}
     assert variant.main([str(site), str(target), *(word for pair in changes.items() for word in pair)]) == 0
@@ -59,7 +59,7 @@
     assert sorted(p.name for p in target.iterdir()) == ["lab.days", "lab.toml", "wire.json"]
 
 
-def test_a_stream_takes_the_place_of_the_arrays_that_come_most_often(site: Path) -> None:
+def test_a_stream_replaces_the_class_of_arrays_that_arrives_most_often(site: Path) -> None:
     arrays = '[[jobs]]\nname = "%s"\nkind = "array"\ncpus = 8.0\narrivals = { rate = %g }\ntasks = { median = 35.0 }\n'
     plain = site.read_text()
     assert variant.main([str(site), str(site.parent / "none"), "--stream", "4"]) == 2, "no arrays"
@@ -71,7 +71,7 @@
     assert rows["often"]["cancelled"] == 0.25
 
 
-def test_zones_that_are_left_out_give_their_machines_and_faults_to_those_that_stay(site: Path) -> None:
+def test_machines_and_faults_of_zones_left_out_move_to_the_remaining_zones(site: Path) -> None:
     target = site.parent / "two"
     assert variant.main([str(site), str(target), "--zones", "a,b"]) == 0
     made = tomllib.loads((target / "lab.toml").read_text())
@@ -93,7 +93,7 @@
         (["{wire}", "x"], "wire.json"),
     ],
 )
-def test_a_wrong_argument_is_one_line_and_nothing_is_written(
+def test_a_wrong_argument_prints_one_line_and_writes_nothing(
     site: Path, words: list[str], said: str, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(site.parent)
@@ -124,7 +124,7 @@
     return str(path)
 
 
-def test_whoever_is_served_least_comes_first_and_below_half_fails(
+def test_the_least_served_comes_first_and_less_than_half_fails(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert served.main([report_in(tmp_path, train=ROW, board={**ROW, "up": 0.8})]) == 0
@@ -139,7 +139,7 @@
     assert "largest  train  BELOW HALF" in capsys.readouterr().out
 
 
-def test_the_largest_jobs_have_to_begin_within_four_minutes(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_largest_jobs_must_begin_within_four_minutes(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     log = tmp_path / "log"
     job, place = "perch-1 job run-{}: x y of {} x 1 cpus, train for red\n", "1.1 perch-1 place run-{}/0 try 1 on m\n"
     small = "".join("1.0 " + job.format(n, 1) + place.format(n) for n in range(10, 19))
@@ -151,13 +151,11 @@
         assert served.main(words) == code, at
     assert "NOT ALL BEGAN WITHIN FOUR MINUTES" in capsys.readouterr().out
     log.write_text(small + large.replace("5.0 ", "361.0 "))
-    assert served.main(words) == 0, "it had no four minutes"
+    assert served.main(words) == 0, "the run ended before its four minutes were over"
     capsys.readouterr()
 
 
-def test_what_cannot_be_read_or_is_missing_is_named_and_no_pass(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_unreadable_or_missing_input_is_named_and_fails(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     log = tmp_path / "log"
     log.write_text(LOG)
     broken = tmp_path / "broken.json"
--- a/tests/acceptance/variant.py
+++ b/tests/acceptance/variant.py
@@ -19,12 +19,12 @@
 import tomli_w
 
 Site = dict[str, Any]
-CONTROLLERS_MOST = 64  # more has no use: each holds a copy of everything, and sockets to all others
-BESIDE = "wire"  # the field that names a file the bench wants beside the site file
+CONTROLLERS_MOST = 64  # more are of no use: each holds a copy of all state and sockets to all others
+BESIDE = "wire"  # the field that names a file which the bench needs beside the site file
 
 
 def more_machines(site: Site, factor: float) -> None:
-    """Capacity and what is up at the start; teams, limits, arrivals and budgets stay."""
+    """Multiply the capacity and the machines that are up at the start; teams, limits, arrivals and budgets stay."""
     for row in [*site.get("capacity", ()), *site.get("machines", ())]:
         for name in ("count", "spot"):
             if isinstance(row.get(name), int) and not isinstance(row[name], bool):
@@ -32,26 +32,31 @@
 
 
 def more_arrivals(site: Site, factor: float) -> None:
+    """Multiply the arrival rate of every class."""
     for row in site.get("jobs", ()):
         if "rate" in row.get("arrivals", {}):
             row["arrivals"]["rate"] *= factor
 
 
 def longer_tasks(site: Site, factor: float) -> None:
-    """Of all classes; services last as long as before."""
+    """Multiply the run times of all classes but services."""
     for row in site.get("jobs", ()):
         if row.get("kind") != "service" and "run_s" in row:
             row["run_s"] = {name: value * factor for name, value in row["run_s"].items()}
 
 
 def more_cancelled(site: Site, share: float) -> None:
+    """Set the share of jobs that their users cancel, of all classes but services."""
     for row in site.get("jobs", ()):
         if row.get("kind") != "service":
             row["cancelled"] = share
 
 
 def stream(site: Site, rate: float) -> None:
-    """The class of arrays that comes most often sends single small tasks instead, so many jobs a second."""
+    """Let the class of arrays that arrives most often send small one-task jobs instead, `rate` a second.
+
+    Raises click.UsageError if the site has no class of arrays.
+    """
     rows = [row for row in site.get("jobs", ()) if row.get("kind") == "array"]
     if not rows:
         raise click.UsageError("--stream: the site has no class of arrays")
@@ -60,7 +65,10 @@
 
 
 def only_zones(site: Site, kept: Sequence[str]) -> None:
-    """Whatever names another zone names one of these instead, in turn."""
+    """Keep only these zones: whatever names another zone names one of these instead, in turn.
+
+    Faults between zones of which only one is left are dropped. Raises click.UsageError for a wrong list of zones.
+    """
     known = site["nodes"]["zones"]
     for zone in kept:
         if zone not in known:
@@ -75,7 +83,7 @@
         if "zone" in row:
             row["zone"] = instead.get(row["zone"], row["zone"])
     for day in site.get("day", ()):
-        day.pop("small", None)  # names zones of its own, at a size that a variant is not for
+        day.pop("small", None)  # a smaller form of the day that names zones itself; variants are not made for it
         for fault in day.get("faults", ()):
             if "zones" in fault:
                 fault["zones"] = sorted({instead.get(zone, zone) for zone in fault["zones"]})
@@ -84,7 +92,7 @@
 
 
 def _joined(rows: Sequence[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Rows of one type and zone as one."""
+    """One row for each type and zone, with the sum of the counts."""
     out: dict[tuple[str, str], dict[str, Any]] = {}
     for row in rows:
         held = out.setdefault((row["type"], row["zone"]), {**row, "count": 0, "spot": 0})
@@ -94,6 +102,8 @@
 
 
 def _set_node(name: str) -> Callable[[Site, Any], None]:
+    """A change that sets this field of the site's `nodes`."""
+
     def change(site: Site, value: Any) -> None:
         site["nodes"][name] = value
 
@@ -101,6 +111,7 @@
 
 
 def read(path: Path) -> Site:
+    """The site file's content; raises click.UsageError if it cannot be read or lacks a required field."""
     try:
         site = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -112,7 +123,10 @@
 
 
 def write(site: Site, source: Path, folder: Path) -> Path:
-    """All of it or nothing: the folder gets its name last."""
+    """Write the site file and the files beside it into a new folder, or nothing: the folder gets its name last.
+
+    Returns the path of the site file; raises click.UsageError on failure.
+    """
     if folder.exists():
         raise click.UsageError(f"{folder}: exists already")
     beside = source.parent / site[BESIDE]
@@ -135,6 +149,8 @@
 
 
 class Positive(click.ParamType):
+    """A finite number above 0."""
+
     name = "number"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> float:
