--- a/pepperlatch/command/cli.py
+++ b/pepperlatch/command/cli.py
@@ -425,14 +425,14 @@
 ) -> int:  # fmt: skip
     """Play a scenario: a file, or one that comes with the program (small, today, idle, two-years, failures)."""
     from pepperlatch.command import scale
-    from pepperlatch.scale.processes import ROOT
+    from pepperlatch.scale.processes import PROJECT_ROOT
     from pepperlatch.scale.scenario import ScenarioError
 
     try:
         played = scale.wanted(scenario, share, length, settle, seed)
     except ScenarioError as error:
         raise click.UsageError(str(error)) from None
-    return scale.run(played, (program or ROOT / "run.py").resolve(), report, keep, output)
+    return scale.run(played, (program or PROJECT_ROOT / "run.py").resolve(), report, keep, output)
 
 
 @scale.command(name="compare")
--- a/pepperlatch/command/scale.py
+++ b/pepperlatch/command/scale.py
@@ -9,7 +9,7 @@
 
 from pepperlatch.command import output
 from pepperlatch.command.service import OK, REFUSED, USAGE
-from pepperlatch.scale import bounds, results, runner, scenario
+from pepperlatch.scale import resource_limits, results, runner, scenario
 from pepperlatch.scale.addresses import NoPort
 from pepperlatch.scale.results import Result
 from pepperlatch.scale.scenario import Scenario
@@ -76,8 +76,8 @@
     bar = _Bar() if sys.stderr.isatty() else None
     show = bar.show if bar is not None else _Lines().show
     try:
-        result = runner.play(played, program, show, keep)
-    except (bounds.TooLarge, NoPort, runner.RunFailed) as error:
+        result = runner.run_scenario(played, program, show, keep)
+    except (resource_limits.TooLarge, NoPort, runner.RunFailed) as error:
         output.say(str(error))
         return USAGE
     finally:
--- a/pepperlatch/scale/processes.py
+++ b/pepperlatch/scale/processes.py
@@ -11,7 +11,7 @@
 from pepperlatch.constants import scale as c
 from pepperlatch.scale.measures import ProcessSample, sample
 
-ROOT = Path(__file__).resolve().parent.parent.parent
+PROJECT_ROOT = Path(__file__).resolve().parent.parent.parent
 
 
 @dataclass
@@ -32,8 +32,8 @@
     def start(self) -> None:
         with self.log.open("ab") as log:
             self.running = subprocess.Popen(
-                self.command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, cwd=ROOT, start_new_session=True,
-                env={**os.environ, "LOG_LEVEL": os.environ.get("LOG_LEVEL", "info")},
+                self.command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, cwd=PROJECT_ROOT,
+                start_new_session=True, env={**os.environ, "LOG_LEVEL": os.environ.get("LOG_LEVEL", "info")},
             )  # fmt: skip
         self.lives += 1
 
--- a/pepperlatch/scale/runner.py
+++ b/pepperlatch/scale/runner.py
@@ -18,13 +18,13 @@
 
 from pepperlatch.constants import scale as c
 from pepperlatch.protocol.http.client import HttpNetwork, NotSent, NoUsableResponse
-from pepperlatch.scale import bounds, control, history, observer, results
+from pepperlatch.scale import control, history, observer, resource_limits, results
 from pepperlatch.scale.addresses import Addresses, controller_name, free_ports
 from pepperlatch.scale.cloud import Fleet
 from pepperlatch.scale.deployment import controller_zones, settings_text
 from pepperlatch.scale.history import AnyEvent, HistoryWriter, TroubleBegan
 from pepperlatch.scale.measures import Delays, HostStatistics, machine_cpu_s
-from pepperlatch.scale.processes import ROOT, Process, controller, end_all, hollow
+from pepperlatch.scale.processes import PROJECT_ROOT, Process, controller, end_all, hollow
 from pepperlatch.scale.results import ProcessResult, Result
 from pepperlatch.scale.scenario import CutZone, KillControllers, Machines, Scenario, Trouble
 
@@ -56,7 +56,7 @@
 
     scenario: Scenario
     folder: Path
-    program: Path = ROOT / "run.py"
+    program: Path = PROJECT_ROOT / "run.py"
     show: Show = lambda progress: None
     addresses: Addresses = field(default_factory=free_ports)
 
@@ -77,9 +77,9 @@
         self._leader_history: list[str] = []
 
     def play(self) -> Result:
-        """Raises RunFailed, bounds.TooLarge; all processes have ended then, too."""
-        bounds.check(self.scenario)
-        bounds.raise_file_limit()
+        """Raises RunFailed, resource_limits.TooLarge; all processes have ended then, too."""
+        resource_limits.check(self.scenario)
+        resource_limits.raise_file_limit()
         self._write_files()
         try:
             return trio.run(self._play)
@@ -334,10 +334,10 @@
     return len(os.sched_getaffinity(0))
 
 
-def play(scenario: Scenario, program: Path, show: Show, keep: Path | None = None) -> Result:
+def run_scenario(scenario: Scenario, program: Path, show: Show, keep: Path | None = None) -> Result:
     """Play a scenario in a folder of its own, which is removed afterwards unless it is to be kept.
 
-    Raises RunFailed, or bounds.TooLarge before anything is started. Interrupted, all processes have ended.
+    Raises RunFailed, or resource_limits.TooLarge before anything is started. Interrupted, all processes have ended.
     """
     folder = keep or Path(tempfile.mkdtemp(prefix="pepperlatch-scale-"))
     folder.mkdir(parents=True, exist_ok=True)
--- a/tests/scale/test_runs.py
+++ b/tests/scale/test_runs.py
@@ -9,7 +9,7 @@
 import pytest
 
 from pepperlatch.command.cli import main
-from pepperlatch.scale import bounds, results, scenario
+from pepperlatch.scale import resource_limits, results, scenario
 from pepperlatch.scale.addresses import Addresses
 from pepperlatch.scale.cloud import Fleet
 from pepperlatch.scale.deployment import controller_zones, settings_text
@@ -71,8 +71,8 @@
     for change, said in ((("hosts = 1", "hosts = 400"), "processes"), (("workers = 20", "workers = 90000"), "MB")):
         path = tmp_path / "large.toml"
         path.write_text(SMALL.replace(*change), "utf-8")
-        with pytest.raises(bounds.TooLarge, match=said):
-            bounds.check(scenario.load(str(path)))
+        with pytest.raises(resource_limits.TooLarge, match=said):
+            resource_limits.check(scenario.load(str(path)))
         assert main(["scale", str(path)]) == 2
         assert said in capsys.readouterr().err
 
