--- a/pepperlatch/scale/__init__.py
+++ b/pepperlatch/scale/__init__.py
@@ -1,1 +1,4 @@
-"""Scale runs: real controllers on loopback beside hollow machines, services and users that follow the protocol."""
+"""The load tool: real controllers on loopback with simulated workers, state service, cloud and users around them.
+
+`runner` starts all processes of a run and measures them; `observer` checks PROTOCOL's rules on the recorded history.
+"""
--- a/pepperlatch/scale/addresses.py
+++ b/pepperlatch/scale/addresses.py
@@ -1,4 +1,4 @@
-"""Where each part of a run listens: loopback addresses of its own on a pair of ports that the run has for itself."""
+"""Where each part of a run listens: each has its own loopback address; the run has a pair of ports for itself."""
 
 import socket
 from dataclasses import dataclass
@@ -7,19 +7,21 @@
 
 
 class NoPort(Exception):
-    """Every port that a run may take is in use."""
+    """All ports from FIRST_PORT to LAST_PORT are in use."""
 
 
 @dataclass(frozen=True, slots=True)
 class Addresses:
-    """A machine is told by its loopback address, so that thousands of them share a port."""
+    """The addresses (host:port) of a run. Machines differ by loopback address, so that thousands share one port."""
 
     port: int
 
     def controller(self, index: int) -> str:
+        """Where a controller serves users and workers."""
         return f"127.0.1.{index + 1}:{self.port}"
 
     def controller_peers(self, index: int) -> str:
+        """Where a controller serves other controllers and operators."""
         return f"127.0.1.{index + 1}:{self.port + 1}"
 
     def state(self) -> str:
@@ -29,13 +31,15 @@
         return f"127.0.2.2:{self.port}"
 
     def host(self, index: int) -> str:
-        """The control interface of a process of hollow workers."""
+        """The control interface of a worker host process."""
         return f"127.0.3.{index + 1}:{self.port}"
 
     def users(self) -> str:
+        """The control interface of the process of simulated users."""
         return f"127.0.4.1:{self.port}"
 
     def worker(self, number: int) -> str:
+        """Where the worker on a machine listens for commands."""
         return f"127.20.{number // 250}.{number % 250 + 1}:{self.port}"
 
 
@@ -51,8 +55,11 @@
     return int(name.rpartition("-")[2])
 
 
-def free_ports() -> Addresses:
-    """Ports that nobody listens on now. Raises NoPort."""
+def find_free_ports() -> Addresses:
+    """The first pair of ports whose first one is free now. Raises NoPort.
+
+    Nothing reserves the ports until the processes of the run listen on them.
+    """
     for port in range(c.FIRST_PORT, c.LAST_PORT, c.PORT_STEP):
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/pepperlatch/scale/control.py
+++ b/pepperlatch/scale/control.py
@@ -1,4 +1,4 @@
-"""What the processes of a run tell each other, on loopback: messages, and a client for them."""
+"""The control interface between the processes of a run, over HTTP on loopback: paths, messages and a client."""
 
 from typing import Any, TypeVar
 
@@ -10,7 +10,10 @@
 from pepperlatch.scale.machine import JobNeeds
 from pepperlatch.scale.scenario import Scenario
 
-JOBS, BOOT, END, DISTURB, CUT, MARK, STATISTICS, FLUSH, DIED = (
+(
+    JOBS_PATH, BOOT_MACHINES_PATH, END_MACHINES_PATH, DISTURB_MACHINES_PATH, CUT_ZONE_PATH, START_MEASURING_PATH,
+    STATISTICS_PATH, FLUSH_HISTORY_PATH, MACHINES_DIED_PATH,
+) = (
     "/jobs", "/boot", "/end", "/disturb", "/cut", "/mark", "/statistics", "/flush", "/died",
 )  # fmt: skip
 
@@ -18,52 +21,55 @@
 
 
 class ControlFailed(Exception):
-    """A process of the run did not answer as it should."""
+    """A process of the run did not answer a control message with 200 in time; the message names address and path."""
 
 
 class Plan(msgspec.Struct):
-    """What every process of a run is given, as a file."""
+    """The file `plan.json`, which every simulated process reads when it starts.
+
+    `port`: first port of the run; `folder`: where the processes write their histories and logs.
+    """
 
     scenario: Scenario
     port: int
     folder: str
 
 
-class Jobs(msgspec.Struct):
-    """Descriptions that users upload for the workers."""
+class JobDescriptions(msgspec.Struct):
+    """What workers need to know of jobs, by job id. The users send it to all worker hosts before they submit."""
 
     needs: dict[str, JobNeeds]
 
 
-class Numbers(msgspec.Struct):
-    """Machines, by their numbers."""
+class MachineNumbers(msgspec.Struct):
+    """Numbers of machines that boot, are returned or have died."""
 
     numbers: list[int]
 
 
-class Disturbance(msgspec.Struct):
-    """Machines that die, restart or hang for `for_s` seconds."""
+class MachineDisturbance(msgspec.Struct):
+    """Machines that are to die, to restart, or to hang for `for_s` seconds."""
 
     action: str
     numbers: list[int]
     for_s: float = 0.0
 
 
-class Cut(msgspec.Struct):
-    """No machine of the zone reaches a controller, or is reached by one, for so long."""
+class ZoneCut(msgspec.Struct):
+    """The zone's machines neither reach a controller nor are reached by one for `for_s` seconds."""
 
     zone: str
     for_s: float
 
 
-def decoded(body: bytes, kind: type[Message]) -> Message:
-    """A message of that kind. Raises msgspec.DecodeError if it is none."""
+def decode_message(body: bytes, kind: type[Message]) -> Message:
+    """The message in `body`. Raises msgspec.DecodeError if it is not a message of that kind."""
     message: Message = msgspec.json.decode(body, type=kind)
     return message
 
 
-async def tell(network: HttpNetwork, address: str, path: str, message: Any = None) -> Any:
-    """Send a message; what was answered. Raises ControlFailed."""
+async def send(network: HttpNetwork, address: str, path: str, message: Any = None) -> Any:
+    """Send a message; returns the answer. Raises ControlFailed without a 200 within CONTROL_TIMEOUT_S."""
     body = msgspec.to_builtins(message) if message is not None else {}
     try:
         status, answer = await network.request(address, "POST", path, body, c.CONTROL_TIMEOUT_S)
@@ -74,14 +80,17 @@
     return answer
 
 
-async def tell_all(network: HttpNetwork, addresses: list[str], path: str, message: Any = None) -> list[Any]:
-    """The same to several at once; their answers in that order. Raises ControlFailed once all were told."""
+async def send_to_all(network: HttpNetwork, addresses: list[str], path: str, message: Any = None) -> list[Any]:
+    """Send the same message to several processes at once; returns their answers in the order of the addresses.
+
+    Raises ControlFailed if any of them failed, after all have been tried.
+    """
     answers: list[Any] = [None] * len(addresses)
     failures: list[ControlFailed] = []
 
     async def one(index: int) -> None:
         try:
-            answers[index] = await tell(network, addresses[index], path, message)
+            answers[index] = await send(network, addresses[index], path, message)
         except ControlFailed as error:
             failures.append(error)
 
--- a/pepperlatch/scale/deployment.py
+++ b/pepperlatch/scale/controller_settings.py
@@ -1,4 +1,4 @@
-"""The settings files of a run's controllers, as a platform hands them over."""
+"""The settings files of a run's controllers, in the form in which a deployment passes them to `run.py --config`."""
 
 from collections import Counter
 from typing import Any
@@ -8,16 +8,20 @@
 
 
 def controller_zones(scenario: Scenario) -> list[str]:
-    """A zone for each controller: regions in turn, no zone twice before each has one."""
-    given: Counter[str] = Counter()
-    found: list[str] = []
+    """The zone of each controller, by index.
+
+    No zone gets a second controller before each has one; among the others, the region with the fewest controllers
+    comes first, then the zone with the highest weight.
+    """
+    by_zone: Counter[str] = Counter()
+    zone_names: list[str] = []
     by_region: Counter[str] = Counter()
     for _ in range(scenario.controllers):
-        chosen = min(scenario.zones, key=lambda zone: (given[zone.name], by_region[zone.region], -zone.weight))
-        given[chosen.name] += 1
+        chosen = min(scenario.zones, key=lambda zone: (by_zone[zone.name], by_region[zone.region], -zone.weight))
+        by_zone[chosen.name] += 1
         by_region[chosen.region] += 1
-        found.append(chosen.name)
-    return found
+        zone_names.append(chosen.name)
+    return zone_names
 
 
 def settings_text(scenario: Scenario, addresses: Addresses, index: int) -> str:
--- a/pepperlatch/scale/history.py
+++ b/pepperlatch/scale/history.py
@@ -1,4 +1,7 @@
-"""What hollow machines and users saw, written as it happens; the observer judges it afterwards."""
+"""The history of a run: events that machines and users write as they happen, for the observer to check afterwards.
+
+Each process appends to a file of its own, one JSON object a line.
+"""
 
 import heapq
 from collections.abc import Iterable, Iterator
@@ -9,13 +12,13 @@
 
 
 class Event(msgspec.Struct, tag_field="event"):
-    """`at`: by the steady clock that all processes of the machine share, in seconds."""
+    """`at`: seconds of the monotonic clock, which all processes of the machine share."""
 
     at: float
 
 
 class JobDescribed(Event, tag="described"):
-    """A user is about to submit a job for the first time."""
+    """A user is about to submit the job for the first time."""
 
     job: str
     team: str
@@ -29,7 +32,7 @@
 
 
 class TaskStarted(Event, tag="started"):
-    """The task has its image: it is on its machine from here on."""
+    """The task's image has been fetched; from now on the task runs on the machine."""
 
     machine: str
     zone: str
@@ -38,7 +41,7 @@
 
 
 class TaskStopped(Event, tag="stopped"):
-    """The task has left its machine, `done` if it completed."""
+    """The task does not run on the machine any more. `done`: it completed."""
 
     machine: str
     task: str
@@ -47,7 +50,7 @@
 
 
 class Answered(Event, tag="answered"):
-    """A user's request has an answer. `status` 0: none came. `state`: what it said of the job."""
+    """A user's request (submit, cancel or poll) ended. `status`: 0 without an answer. `state`: the job's, if stated."""
 
     asked_at: float
     request: str
@@ -57,7 +60,7 @@
 
 
 class LeaseEnded(Event, tag="lease"):
-    """A worker's lease ended. `expected`: by a trouble that the scenario has caused."""
+    """A worker's lease expired with `tasks` tasks. `expected`: a trouble of the scenario explains it."""
 
     machine: str
     expected: bool
@@ -65,6 +68,8 @@
 
 
 class TroubleBegan(Event, tag="trouble"):
+    """The runner is about to inject a trouble. `text`: its `repr`, so names of classes in `scenario` are part of it."""
+
     text: str
 
 
@@ -73,7 +78,7 @@
 
 
 class HistoryWriter:
-    """Appends events to a file of its process; buffered, so close it."""
+    """Appends events to a file. Writes are buffered: what was not flushed or closed is lost with the process."""
 
     def __init__(self, path: Path) -> None:
         self._file: IO[bytes] = path.open("ab", buffering=1 << 16)
@@ -90,7 +95,7 @@
 
 
 def read(path: Path) -> Iterator[AnyEvent]:
-    """A line that was cut off by the end of its process is left out."""
+    """The events in a file. Reading ends at the first line that is not an event, such as one cut off by a kill."""
     with path.open("rb") as file:
         for line in file:
             try:
@@ -100,5 +105,5 @@
 
 
 def merged(histories: Iterable[Iterable[AnyEvent]]) -> Iterator[AnyEvent]:
-    """All events in the order of their times; each history is in order already."""
+    """All events ordered by time. Each of `histories` must be in that order already."""
     return heapq.merge(*histories, key=lambda event: event.at)
--- a/pepperlatch/scale/machine.py
+++ b/pepperlatch/scale/machine.py
@@ -1,6 +1,7 @@
-"""A hollow machine as PROTOCOL's workers are: lease, sessions, numbers, token, tasks, images. No I/O, no clock.
+"""The state of a simulated machine that follows PROTOCOL: lease, session, report number, token, tasks and images.
 
-What is due later (an image that has arrived, a task that completes) is told by `next_due`; `step` carries it out.
+It does no I/O and reads no clock: its worker (`worker_host.Worker`) passes the time, in seconds of the monotonic clock.
+Work that is due later (an image arrives, a task completes) is announced by `next_due_at` and done by `step`.
 """
 
 from collections.abc import Callable
@@ -14,12 +15,12 @@
 from pepperlatch.scale.history import AnyEvent, LeaseEnded, TaskStarted, TaskStopped
 from pepperlatch.scale.scenario import MachineShape, WorkerTimes
 
-Key = tuple[str, int]
+TaskKey = tuple[str, int]  # task and number of the attempt
 
 
 @dataclass(slots=True)
 class JobNeeds:
-    """What a worker reads in a job's description."""
+    """What a worker needs to know of a job. `run_s`: mean length of its tasks; services run until they are stopped."""
 
     service: bool
     cpus: float
@@ -31,29 +32,35 @@
 
 @dataclass(slots=True)
 class Task:
+    """An attempt of a task on the machine, which is fetching its image, running, or has exited with a cause."""
+
     needs: JobNeeds
     state: TaskState
     cause: Cause | None = None
-    due_at: float | None = None  # when its image is there, or it completes
-    started: bool = False
+    due_at: float | None = None  # when its image arrives or, once it runs, when it completes
+    started: bool = False  # it has run, so it may have to be recorded as stopped
 
 
 @dataclass(slots=True)
-class Order:
-    """A command of a controller. Raises KeyError if a field is missing."""
+class Command:
+    """A command of a controller: launch, kill or reap an attempt of a task."""
 
     verb: str
     task: str
     attempt: int
 
     @classmethod
-    def of(cls, plain: dict[str, Any]) -> "Order":
+    def of(cls, plain: dict[str, Any]) -> "Command":
+        """The command in its wire form. Raises KeyError if a field is missing."""
         return cls(plain["verb"], plain["piece"], plain["try"])
 
 
 @dataclass(eq=False)
-class Machine:
-    """`jobs`: descriptions by id, uploaded by users. `record`: told what the observer judges."""
+class SimulatedMachine:
+    """A machine and its worker's state, which controllers see through reports and answers to commands.
+
+    `jobs`: needs of jobs by job id, uploaded by users. `record_event`: called with each event for the history.
+    """
 
     name: str
     address: str
@@ -62,82 +69,90 @@
     shape: MachineShape
     times: WorkerTimes
     jobs: dict[str, JobNeeds]
-    completed: set[str]  # tasks whose result is kept, on any machine
-    record: Callable[[AnyEvent], None]
-    lease_from: float
-    session: int = 1
-    number: int = 0
-    token: int = 0
-    tasks: dict[Key, Task] = field(default_factory=dict)
-    images: dict[str, float] = field(default_factory=dict)
-    image_due: dict[str, float] = field(default_factory=dict)
-    disturbed_until: float = 0.0  # a trouble of the scenario explains a lost lease until then
-    token_told_at: float = float("-inf")
-    changed: bool = False
-
-    # --- what it says -----------------------------------------------------------------------------
+    completed: set[str]  # tasks whose result is stored; all machines of the process share the set
+    record_event: Callable[[AnyEvent], None]
+    lease_start: float  # when the last report that was answered was sent
+    session: int = 1  # one more after each end of a lease and each restart
+    report_count: int = 0  # the number that the last report carried
+    token: int = 0  # highest fencing token received from a controller
+    tasks: dict[TaskKey, Task] = field(default_factory=dict)
+    images: dict[str, float] = field(default_factory=dict)  # GB of each cached image, least recently used first
+    image_due_at: dict[str, float] = field(default_factory=dict)  # images that are being fetched: when they arrive
+    disturbed_until: float = 0.0  # until then a trouble of the scenario explains an expired lease
+    token_reported_at: float = float("-inf")
+    changed: bool = False  # something has changed, so a report is due at once
+
+    # --- reports ----------------------------------------------------------------------------------
 
     def report(self) -> dict[str, Any]:
-        """What it says of itself, in a report or in the answer to a command."""
-        self.number += 1
+        """The state in wire form, for a report or the answer to a command. Each call takes the next report number."""
+        self.report_count += 1
         rows = [self._row(key, task) for key, task in self.tasks.items()]
         return {
             "perch": self.name, "endpoint": self.address, "build": self.kind, "yard": self.zone, "loaners": False,
-            "tenure": self.session, "tally": self.number, "baton": self.token, "reclaim_in_s": None, "pieces": rows,
+            "tenure": self.session, "tally": self.report_count, "baton": self.token, "reclaim_in_s": None,
+            "pieces": rows,
         }  # fmt: skip
 
     @staticmethod
-    def _row(key: Key, task: Task) -> dict[str, Any]:
+    def _row(key: TaskKey, task: Task) -> dict[str, Any]:
         row: dict[str, Any] = {"piece": key[0], "try": key[1], "status": task.state.value}
         if task.cause is not None:
             row["cause"] = task.cause.value
         return row
 
-    # --- what it is told --------------------------------------------------------------------------
+    # --- answers and commands ---------------------------------------------------------------------
 
-    def take_answer(self, answer: Any, session: int, sent_at: float, now: float) -> bool:
-        """The 200 to a report that was sent then in that session; False if it is dropped."""
+    def apply_report_answer(self, answer: Any, session: int, sent_at: float, now: float) -> bool:
+        """Renew the lease and carry out the commands of a 200 to the report that was sent at `sent_at` in `session`.
+
+        Returns False and does nothing if the answer is malformed, has a lower token, or belongs to an earlier session.
+        """
         token = answer.get("baton") if isinstance(answer, dict) else None
         if not isinstance(token, int) or token < self.token or session != self.session:
             return False
-        self.lease_from = max(self.lease_from, sent_at)
-        self._see_token(token, now)
+        self.lease_start = max(self.lease_start, sent_at)
+        self._accept_token(token, now)
         self.execute(answer.get("orders") or [], now)
         return True
 
-    def take_command(self, body: Any, now: float) -> tuple[int, dict[str, Any]]:
-        """A direct command: status and report after it."""
+    def apply_commands(self, body: Any, now: float) -> tuple[int, dict[str, Any]]:
+        """Carry out commands that a controller sent to the worker; returns the HTTP status and the report to answer.
+
+        400 without token or session, 409 with a lower token or another session. Raises KeyError on a malformed command.
+        """
         if not isinstance(body, dict) or "baton" not in body or "tenure" not in body:
             return 400, self.report()
         if body["baton"] < self.token or body["tenure"] != self.session:
             return 409, self.report()
-        self._see_token(body["baton"], now)
+        self._accept_token(body["baton"], now)
         self.execute(body.get("orders") or [], now)
         return 200, self.report()
 
-    def _see_token(self, token: int, now: float) -> None:
-        """A higher one counts as a change, at most once in half a lease."""
+    def _accept_token(self, token: int, now: float) -> None:
+        """Keep the token if it is higher. That causes a report at once, but at most once in half a lease."""
         if token <= self.token:
             return
         self.token = token
-        if now - self.token_told_at > self.times.lease_s / 2:
-            self.token_told_at = now
+        if now - self.token_reported_at > self.times.lease_s / 2:
+            self.token_reported_at = now
             self.changed = True
 
     def execute(self, orders: list[dict[str, Any]], now: float) -> None:
+        """Carry out commands; those that do not apply to the state of their task have no effect."""
         for plain in orders:
-            order = Order.of(plain)
-            key = (order.task, order.attempt)
+            command = Command.of(plain)
+            key = (command.task, command.attempt)
             task = self.tasks.get(key)
-            if order.verb == "launch" and task is None:
+            if command.verb == "launch" and task is None:
                 self._launch(key, now)
-            elif order.verb == "kill" and task is not None and task.state is not TaskState.EXITED:
+            elif command.verb == "kill" and task is not None and task.state is not TaskState.EXITED:
                 self._exit(key, task, Cause.STOPPED, now)
-            elif order.verb == "reap" and task is not None and task.state is TaskState.EXITED:
+            elif command.verb == "reap" and task is not None and task.state is TaskState.EXITED:
                 del self.tasks[key]
                 self.changed = True
 
-    def _launch(self, key: Key, now: float) -> None:
+    def _launch(self, key: TaskKey, now: float) -> None:
         self.changed = True
         needs = self.jobs.get(key[0].rpartition("/")[0])
         if needs is None:
@@ -154,24 +169,25 @@
 
     def _room_for(self, needs: JobNeeds) -> bool:
         held = [task.needs for task in self.tasks.values() if task.state is not TaskState.EXITED]
-        cpus = sum(one.cpus for one in held) + needs.cpus
-        memory_gb = sum(one.memory_gb for one in held) + needs.memory_gb
+        cpus = sum(other_needs.cpus for other_needs in held) + needs.cpus
+        memory_gb = sum(other_needs.memory_gb for other_needs in held) + needs.memory_gb
         return cpus <= self.shape.cpus + 1e-6 and memory_gb <= self.shape.memory_gb + 1e-6
 
     def _image_at(self, needs: JobNeeds, now: float) -> float:
-        """When the image is there; it is fetched once for all tasks that need it."""
+        """When the image is on the machine; it is fetched once for all tasks that need it."""
         if needs.image in self.images or needs.image_gb <= 0:
             return now
-        due_at = self.image_due.setdefault(needs.image, now + needs.image_gb / self.shape.fetch_gb_per_s)
+        due_at = self.image_due_at.setdefault(needs.image, now + needs.image_gb / self.shape.fetch_gb_per_s)
         return due_at
 
     # --- time -------------------------------------------------------------------------------------
 
-    def next_due(self) -> float | None:
-        """When `step` has something to do."""
+    def next_due_at(self) -> float | None:
+        """When `step` next has something to do; None if nothing is due."""
         return min((task.due_at for task in self.tasks.values() if task.due_at is not None), default=None)
 
     def step(self, now: float) -> None:
+        """Start tasks whose image has arrived, and end those that have run their time."""
         for key, task in list(self.tasks.items()):
             if task.due_at is None or task.due_at > now:
                 continue
@@ -180,24 +196,24 @@
             elif task.state is TaskState.RUNNING:
                 self._exit(key, task, Cause.DONE, now)
 
-    def _start(self, key: Key, task: Task, now: float) -> None:
+    def _start(self, key: TaskKey, task: Task, now: float) -> None:
         self._keep_image(task.needs)
         self.changed = True
-        if key[0] in self.completed:  # its result is kept
+        if key[0] in self.completed:  # its result is stored already, so it exits at once
             self._exit(key, task, Cause.DONE, now)
             return
         task.state, task.started = TaskState.RUNNING, True
-        task.due_at = None if task.needs.service else now + task.needs.run_s * _length(key[0])
-        self.record(TaskStarted(now, self.name, self.zone, key[0], key[1]))
+        task.due_at = None if task.needs.service else now + task.needs.run_s * _length_factor(key[0])
+        self.record_event(TaskStarted(now, self.name, self.zone, key[0], key[1]))
 
     def _keep_image(self, needs: JobNeeds) -> None:
-        self.image_due.pop(needs.image, None)
+        self.image_due_at.pop(needs.image, None)
         self.images.pop(needs.image, None)
         self.images[needs.image] = needs.image_gb
         while sum(self.images.values()) > self.shape.cache_gb and len(self.images) > 1:
             self.images.pop(next(iter(self.images)))
 
-    def _exit(self, key: Key, task: Task, cause: Cause, now: float) -> None:
+    def _exit(self, key: TaskKey, task: Task, cause: Cause, now: float) -> None:
         was_started = task.started
         task.state, task.cause, task.due_at = TaskState.EXITED, cause, None
         self.changed = True
@@ -205,44 +221,45 @@
         if done:
             self.completed.add(key[0])
         if was_started:
-            self.record(TaskStopped(now, self.name, key[0], key[1], done))
+            self.record_event(TaskStopped(now, self.name, key[0], key[1], done))
 
-    # --- leases and ends --------------------------------------------------------------------------
+    # --- end of leases and sessions ---------------------------------------------------------------
 
-    def check_lease(self, now: float) -> bool:
-        """End the session if its lease is over; whether it was."""
-        if now - self.lease_from <= self.times.lease_s:
+    def expire_lease(self, now: float) -> bool:
+        """If the lease is over, drop all tasks and begin a new session and lease; returns whether it was."""
+        if now - self.lease_start <= self.times.lease_s:
             return False
-        live = sum(1 for task in self.tasks.values() if task.state is not TaskState.EXITED)
-        self.record(LeaseEnded(now, self.name, now <= self.disturbed_until, live))
-        self.forget_tasks(now)
+        live_tasks = sum(1 for task in self.tasks.values() if task.state is not TaskState.EXITED)
+        self.record_event(LeaseEnded(now, self.name, now <= self.disturbed_until, live_tasks))
+        self.drop_tasks(now)
         self.session += 1
-        self.lease_from = now
+        self.lease_start = now
         self.changed = True
         return True
 
-    def forget_tasks(self, now: float) -> None:
+    def drop_tasks(self, now: float) -> None:
+        """Stop and forget all tasks; those that had started are recorded as stopped without a result."""
         for key, task in self.tasks.items():
             if task.started and task.state is not TaskState.EXITED:
-                self.record(TaskStopped(now, self.name, key[0], key[1], False))
+                self.record_event(TaskStopped(now, self.name, key[0], key[1], False))
         self.tasks.clear()
-        self.image_due.clear()
+        self.image_due_at.clear()
 
     def restart(self, now: float) -> None:
-        """It ends, and is back under its name in a later session with nothing that it held."""
-        self.forget_tasks(now)
+        """The machine restarts under its name with a new session: it loses tasks and images, but keeps its token."""
+        self.drop_tasks(now)
         self.images.clear()
         self.session += 1
-        self.lease_from = now
+        self.lease_start = now
         self.changed = True
 
 
-def _length(task: str) -> float:
-    """How long the task runs, in times of its job's mean; the same wherever it runs."""
+def _length_factor(task: str) -> float:
+    """How long the task runs, as a multiple of its job's mean; the same on every machine and in every attempt."""
     return 1 + c.TASK_LENGTH_SPREAD * (2 * crc32(task.encode()) / 0xFFFFFFFF - 1)
 
 
-def needs_of(spec: wire.JobSpec) -> JobNeeds:
-    """A job's description as a worker reads it."""
+def job_needs(spec: wire.JobSpec) -> JobNeeds:
+    """What a worker needs to know of a submitted job."""
     service = spec.kind is wire.Kind.SERVICE
     return JobNeeds(service, spec.cpus, spec.memory_gb, spec.image, spec.image_gb, spec.estimate_s)
--- a/pepperlatch/scale/results.py
+++ b/pepperlatch/scale/results.py
@@ -1,4 +1,4 @@
-"""What a run found: a table for people, JSON for programs, and two of them side by side."""
+"""The result of a run: a table for people, JSON for programs, and two results side by side."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -14,11 +14,15 @@
 
 
 class BadResult(Exception):
-    """A file holds no result of a run."""
+    """The file cannot be read or does not hold the result of a run; the message says which and why."""
 
 
 class ProcessResult(msgspec.Struct):
-    """`cpu`: share of a core. `heartbeats`: answered 200 a second. `cpu_ms_per_heartbeat`: all of its time by these."""
+    """Figures of one process while measuring. `cpu`: share of a core. `lives`: number of its starts in the whole run.
+
+    `heartbeats`: worker reports a second that it answered with 200. `cpu_ms_per_heartbeat`: all of its processor time,
+    divided by the number of these. Both are 0 for processes that are not controllers.
+    """
 
     name: str
     role: str
@@ -31,7 +35,7 @@
 
 
 class Result(msgspec.Struct):
-    """All figures of a run; delays in seconds, rates a second."""
+    """All figures of a run. Delays are in seconds, with the keys of `Delays.summary`; rates are a second."""
 
     scenario: str
     program: str
@@ -40,32 +44,32 @@
     controllers: int
     length_s: float
     leader_cpu: float
-    follower_cpu: float  # the median
+    follower_cpu: float  # median of all followers
     machine_cpu: float  # share of all cores
     heartbeats: float
-    answers: dict[str, int]  # to heartbeats, by status; 0: none
+    answers: dict[str, int]  # to heartbeats, by HTTP status; 0: no answer
     heartbeat: dict[str, float]
     submission: dict[str, float]
-    starts: dict[str, dict[str, float]]  # by class: from the first try to submit until a task has its image
+    starts: dict[str, dict[str, float]]  # by class: from the first submission of the job until a task has its image
     starts_mean: float
-    starts_peak: float  # best 5 s
-    running_most: int
-    leases_ended: int  # under no trouble
-    leases_ended_expected: int
-    tasks_lost: int  # with these leases
-    worker_bytes: float  # a second, to and from a worker
-    state: dict[str, float]  # requests, puts and bytes a second
-    in_force: dict[str, float]
-    changes_failed: int
-    accounted_s: list[float]  # after each takeover
+    starts_peak: float  # in the best 5 s
+    running_most: int  # most tasks that ran at the same time
+    leases_ended: int  # that no trouble of the scenario explains
+    leases_ended_expected: int  # that a trouble explains
+    tasks_lost: int  # with leases of either kind
+    worker_bytes: float  # a second, to and from one worker on average
+    state: dict[str, float]  # of the state service: requests by kind, refusals, writes and bytes a second
+    in_force: dict[str, float]  # from a change of a setting until every controller shows it
+    changes_failed: int  # changes that were not in force everywhere within SETTINGS_TIMEOUT_S
+    accounted_s: list[float]  # for each takeover, until the new leader had accounted for all machines
     processes: list[ProcessResult]
     breaches: list[Breach]
     warnings: list[str]
 
 
 @dataclass
-class Seen:
-    """What a history says of how jobs were served."""
+class HistorySummary:
+    """Figures of a history: delays of submissions and starts (by job class), numbers of tasks and of ended leases."""
 
     submission: Delays = field(default_factory=Delays)
     starts: dict[str, Delays] = field(default_factory=lambda: defaultdict(Delays))
@@ -76,7 +80,7 @@
     tasks_lost: int = 0
 
     def starts_peak(self, window_s: int = 5) -> float:
-        """Starts a second in the best spell of so many seconds."""
+        """Starts a second in the best `window_s` whole seconds in a row."""
         if not self.starts_by_second:
             return 0.0
         first, last = min(self.starts_by_second), max(self.starts_by_second)
@@ -84,44 +88,45 @@
         return max(sums) / window_s
 
 
-def seen_in(events: Iterable[AnyEvent]) -> Seen:
-    """`events`: in the order of their times."""
-    seen = Seen()
-    classes: dict[str, JobDescribed] = {}
-    asked: dict[str, float] = {}
-    begun: set[str] = set()
+def summarize_history(events: Iterable[AnyEvent]) -> HistorySummary:
+    """The figures of a history, whose events must be ordered by time."""
+    summary = HistorySummary()
+    jobs: dict[str, JobDescribed] = {}
+    first_asked_at: dict[str, float] = {}
+    started_tasks: set[str] = set()
     running = 0
     for event in events:
         if isinstance(event, JobDescribed):
-            classes[event.job] = event
+            jobs[event.job] = event
         elif isinstance(event, Answered) and event.request == "submit":
-            if event.job not in asked:
-                asked[event.job] = event.asked_at
+            if event.job not in first_asked_at:
+                first_asked_at[event.job] = event.asked_at
             if event.status in (200, 201):
-                seen.submission.add(event.at - asked[event.job])
+                summary.submission.add(event.at - first_asked_at[event.job])
         elif isinstance(event, TaskStarted):
             running += 1
-            seen.running_most = max(seen.running_most, running)
-            seen.starts_by_second[int(event.at)] += 1
-            job = classes.get(event.task.rpartition("/")[0])
-            if job is not None and event.task not in begun:
-                begun.add(event.task)
-                seen.starts[job.job_class].add(event.at - job.at)
+            summary.running_most = max(summary.running_most, running)
+            summary.starts_by_second[int(event.at)] += 1
+            job = jobs.get(event.task.rpartition("/")[0])
+            if job is not None and event.task not in started_tasks:
+                started_tasks.add(event.task)
+                summary.starts[job.job_class].add(event.at - job.at)
         elif isinstance(event, TaskStopped):
             running -= 1
         elif isinstance(event, LeaseEnded):
-            seen.leases_ended += not event.expected
-            seen.leases_ended_expected += event.expected
-            seen.tasks_lost += event.tasks
-    return seen
+            summary.leases_ended += not event.expected
+            summary.leases_ended_expected += event.expected
+            summary.tasks_lost += event.tasks
+    return summary
 
 
 def save(result: Result, path: Path) -> None:
+    """Write the result as JSON."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
 
 
 def load(path: Path) -> Result:
-    """Raises BadResult."""
+    """Read a result that `save` wrote. Raises BadResult."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Result)
     except (OSError, msgspec.DecodeError) as error:
@@ -129,7 +134,7 @@
 
 
 def overview(result: Result) -> list[tuple[str, str]]:
-    """The figures that are set side by side, each with its unit in its name."""
+    """The figures of a result as (name with unit, value)."""
     rows = [
         ("workers", str(result.workers)),
         ("controllers", str(result.controllers)),
@@ -166,13 +171,14 @@
 
 
 def side_by_side(one: Result, other: Result) -> list[tuple[str, str, str]]:
-    """Rows of both; what only one of them has stands against nothing."""
+    """Rows of (name, value in `one`, value in `other`); a value that one of them lacks is empty."""
     first, second = dict(overview(one)), dict(overview(other))
     names = list(first) + [name for name in second if name not in first]
     return [(name, first.get(name, ""), second.get(name, "")) for name in names]
 
 
 def process_rows(result: Result) -> list[list[Any]]:
+    """One row a process, with the columns of PROCESS_COLUMNS."""
     return [
         [
             process.name, process.role, f"{process.cpu:.3f}", f"{process.memory_mb:.0f}", process.sockets,
--- a/pepperlatch/scale/scenario.py
+++ b/pepperlatch/scale/scenario.py
@@ -1,4 +1,4 @@
-"""What a scale run plays: read from a TOML file and checked; an error names the field."""
+"""The scenario of a run, read from a TOML file and checked; an error names the field."""
 
 import tomllib
 from importlib import resources
@@ -13,11 +13,11 @@
 
 
 class ScenarioError(Exception):
-    """The scenario cannot be played; the text names the field."""
+    """The scenario cannot be read or is not valid; the message names the field."""
 
 
 class Zone(msgspec.Struct, forbid_unknown_fields=True):
-    """A zone, the region that it lies in, and its share of the machines and controllers."""
+    """A zone and its region. Machines are spread in proportion to `weight`; for controllers it only breaks ties."""
 
     name: str
     region: str
@@ -25,7 +25,7 @@
 
 
 class MachineShape(msgspec.Struct, forbid_unknown_fields=True):
-    """The one type of machine: CPUs, GB of memory and of cached images, GB fetched a second."""
+    """The only type of machine in a run. `cache_gb`: space for images; `fetch_gb_per_s`: speed of fetching them."""
 
     cpus: Positive = 16.0
     memory_gb: Positive = 64.0
@@ -34,7 +34,7 @@
 
 
 class Teams(msgspec.Struct, forbid_unknown_fields=True):
-    """How many teams there are, and the CPUs that each is guaranteed and may use at most."""
+    """The number of teams. `cpus`: guaranteed to each team; `cpus_max`: most that each may use."""
 
     count: Count = 1
     cpus: NotNegative = 100.0
@@ -42,7 +42,7 @@
 
 
 class WorkerTimes(msgspec.Struct, forbid_unknown_fields=True):
-    """As `params.workers` in a controller's settings, in seconds."""
+    """Times of workers in seconds, as `params.workers` in a controller's settings."""
 
     report_s: Positive = 3.0
     lease_s: Positive = 18.0
@@ -52,7 +52,7 @@
 
 
 class StateLimits(msgspec.Struct, forbid_unknown_fields=True):
-    """As `params.state` in a controller's settings."""
+    """Limits of the state service, as `params.state` in a controller's settings."""
 
     rps: Positive = 400.0
     write_rps: Positive = 120.0
@@ -61,12 +61,14 @@
 
 
 class CloudLimits(msgspec.Struct, forbid_unknown_fields=True):
+    """Limits of the cloud, as `params.cloud` in a controller's settings. `list_lag_s`: age of its machine list."""
+
     rps: Positive = 6.0
     list_lag_s: NotNegative = 5.0
 
 
 class Burst(msgspec.Struct, forbid_unknown_fields=True):
-    """So many jobs of a class within a spell, besides its ordinary rate. Times count from the start of measuring."""
+    """Jobs of a class besides its ordinary rate, spread over `within_s`. `at_s` counts from the start of measuring."""
 
     at_s: NotNegative
     jobs: Count
@@ -74,7 +76,12 @@
 
 
 class JobClass(msgspec.Struct, forbid_unknown_fields=True):
-    """Jobs that users submit. Gangs are not played: their tasks would have to find each other across processes."""
+    """A class of jobs that users submit: `per_minute` at random, and `at_start` within the first second.
+
+    `shape`: a sweep has tasks that complete, after `run_s` on average; a daemon is a service. Gangs are not supported:
+    their tasks would have to find each other across worker host processes. `images`: number of different images of the
+    class. `cancelled_share`: share of the jobs that their users cancel, within `run_s`.
+    """
 
     name: str
     shape: Literal["sweep", "daemon"] = "sweep"
@@ -92,7 +99,10 @@
 
 
 class KillControllers(msgspec.Struct, forbid_unknown_fields=True, tag="kill", tag_field="what"):
-    """`kill -9`; `which`: leader, follower, or a region's name for all of its controllers."""
+    """Controllers are killed (SIGKILL) and started again after `back_after_s`.
+
+    `which`: leader, follower (one at random), or the name of a region for all of its controllers.
+    """
 
     at_s: NotNegative
     which: str
@@ -100,7 +110,10 @@
 
 
 class Machines(msgspec.Struct, forbid_unknown_fields=True, tag="machines", tag_field="what"):
-    """Machines die for good, restart (they forget everything), or hang for a while."""
+    """`count` random machines (of `zone` if given) die for good, restart, or hang for `for_s`.
+
+    A restart loses tasks and images.
+    """
 
     at_s: NotNegative
     action: Literal["die", "restart", "hang"]
@@ -110,18 +123,23 @@
 
 
 class CutZone(msgspec.Struct, forbid_unknown_fields=True, tag="cut", tag_field="what"):
-    """The workers of a zone reach no controller and the other way round."""
+    """The workers of a zone reach no controller for `for_s`, and no controller reaches them."""
 
     at_s: NotNegative
     zone: str
     for_s: Positive
 
 
+# A fault that the run injects; `at_s` counts from the start of measuring. The `repr` is written to the history.
 Trouble = KillControllers | Machines | CutZone
 
 
 class Scenario(msgspec.Struct, forbid_unknown_fields=True):
-    """A run: `settle_s` until all is up, then `length_s` in which it is measured."""
+    """A run: it waits `settle_s` after all controllers are healthy, then measures for `length_s`.
+
+    `hosts`: number of worker host processes. `workers`: machines that are rented from the start. `spare_workers`:
+    further machines that the cloud may rent out. `changes_per_hour`: how often an operator changes a setting.
+    """
 
     name: str
     controllers: Count
@@ -142,27 +160,27 @@
     troubles: list[Trouble] = []
 
     def scaled(self, share: float) -> "Scenario":
-        """The same with a share of the workers, jobs and bursts, to see how figures grow; the controllers stay."""
+        """This scenario with `share` of the workers, jobs and bursts but all controllers, to see how figures grow."""
 
-        def part(number: float) -> int:
+        def scaled_count(number: float) -> int:
             return max(1, round(number * share))
 
         classes = [
             msgspec.structs.replace(
-                kind,
-                per_minute=kind.per_minute * share,
-                at_start=part(kind.at_start) if kind.at_start else 0,
-                burst=[msgspec.structs.replace(burst, jobs=part(burst.jobs)) for burst in kind.burst],
+                job_class,
+                per_minute=job_class.per_minute * share,
+                at_start=scaled_count(job_class.at_start) if job_class.at_start else 0,
+                burst=[msgspec.structs.replace(burst, jobs=scaled_count(burst.jobs)) for burst in job_class.burst],
             )
-            for kind in self.classes
+            for job_class in self.classes
         ]
         return msgspec.structs.replace(
-            self, name=f"{self.name} x {share:g}", workers=part(self.workers), classes=classes
+            self, name=f"{self.name} x {share:g}", workers=scaled_count(self.workers), classes=classes
         )
 
 
 def parse(text: str) -> Scenario:
-    """Raises ScenarioError, which names the field and what is wrong with it."""
+    """The scenario in a TOML text. Raises ScenarioError, which names the field and what is wrong with it."""
     try:
         scenario = msgspec.convert(tomllib.loads(text), Scenario)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
@@ -172,7 +190,7 @@
 
 
 def load(name: str) -> Scenario:
-    """A file, or the name of a scenario that comes with the program."""
+    """The scenario in the file `name`, or the one of that name that comes with the program. Raises ScenarioError."""
     path = Path(name)
     shipped = resources.files("pepperlatch.scale") / "scenarios" / f"{name}.toml"
     try:
@@ -188,36 +206,38 @@
 
 
 def shipped_names() -> list[str]:
+    """Names of the scenarios that come with the program."""
     folder = resources.files("pepperlatch.scale") / "scenarios"
     return sorted(entry.name.removesuffix(".toml") for entry in folder.iterdir() if entry.name.endswith(".toml"))
 
 
 def _check(scenario: Scenario) -> None:
+    """Check what concerns several fields. Raises ScenarioError."""
     if not scenario.zones:
         raise ScenarioError("zones: at least one is needed")
     zones = [zone.name for zone in scenario.zones]
     regions = {zone.region for zone in scenario.zones}
-    _unique("zones", zones)
-    _unique("classes", [kind.name for kind in scenario.classes])
+    _check_unique("zones", zones)
+    _check_unique("classes", [job_class.name for job_class in scenario.classes])
     if scenario.times.cancel_s <= scenario.times.lease_s:
         raise ScenarioError("times.cancel_s: must be above times.lease_s")
-    for index, kind in enumerate(scenario.classes):
-        if kind.cpus > scenario.machine.cpus or kind.memory_gb > scenario.machine.memory_gb:
-            raise ScenarioError(f"classes[{index}]: a task of {kind.name} fits no machine")
-        if kind.cpus > scenario.teams.cpus_max:
+    for index, job_class in enumerate(scenario.classes):
+        if job_class.cpus > scenario.machine.cpus or job_class.memory_gb > scenario.machine.memory_gb:
+            raise ScenarioError(f"classes[{index}]: a task of {job_class.name} fits no machine")
+        if job_class.cpus > scenario.teams.cpus_max:
             raise ScenarioError(f"classes[{index}].cpus: above teams.cpus_max")
     for index, trouble in enumerate(scenario.troubles):
-        place = f"troubles[{index}]"
+        field_path = f"troubles[{index}]"
         if trouble.at_s > scenario.length_s:
-            raise ScenarioError(f"{place}.at_s: after the end, length_s is {scenario.length_s:g}")
+            raise ScenarioError(f"{field_path}.at_s: after the end, length_s is {scenario.length_s:g}")
         zone = None if isinstance(trouble, KillControllers) else trouble.zone
         if zone is not None and zone not in zones:
-            raise ScenarioError(f"{place}.zone: no zone is called {zone!r}")
+            raise ScenarioError(f"{field_path}.zone: no zone is called {zone!r}")
         if isinstance(trouble, KillControllers) and trouble.which not in {"leader", "follower", *regions}:
-            raise ScenarioError(f"{place}.which: leader, follower or one of {', '.join(sorted(regions))}")
+            raise ScenarioError(f"{field_path}.which: leader, follower or one of {', '.join(sorted(regions))}")
 
 
-def _unique(field: str, names: list[str]) -> None:
+def _check_unique(field: str, names: list[str]) -> None:
     for name in names:
         if names.count(name) > 1:
             raise ScenarioError(f"{field}: {name!r} stands there twice")
--- a/tests/scale/__init__.py
+++ b/tests/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Stories of the scale runs: their hollow parts keep PROTOCOL, their observer can fail, a small run plays."""
+"""Tests of the load tool: its simulated parts follow PROTOCOL, its observer finds breaches, and a run completes."""
--- a/tests/scale/test_observer.py
+++ b/tests/scale/test_observer.py
@@ -1,9 +1,9 @@
-"""The observer finds each broken rule in a history that breaks it, and none in one that keeps them all."""
+"""The observer finds each broken rule in a history that breaks it, and no breach in one that keeps them all."""
 
 import pytest
 
 from pepperlatch.scale.history import Answered, AnyEvent, JobDescribed, TaskStarted, TaskStopped
-from pepperlatch.scale.observer import Limits, judge
+from pepperlatch.scale.observer import Limits, find_breaches
 
 LIMITS = Limits(team_cpus=4.0, cancel_s=30.0)
 
@@ -29,7 +29,7 @@
 
 ACCEPTED = answer(1.0, "submit", "queued", 201)
 BOTH_DONE = [start(2.0), start(2.0, task="run-1/1"), stop(5.0, done=True), stop(6.0, task="run-1/1", done=True)]
-BROKEN: dict[str, list[list[AnyEvent]]] = {
+HISTORIES_BY_RULE: dict[str, list[list[AnyEvent]]] = {
     "ran_twice": [[described(), start(2.0), start(3.0, "n-2", attempt=2)]],
     "quota": [[described(cpus=3.0), start(2.0), start(3.0, task="run-1/1")]],
     "wrong_place": [
@@ -60,23 +60,23 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("rule", BROKEN)
-def test_each_broken_rule_is_found_with_its_history(rule: str) -> None:
-    for events in BROKEN[rule]:
-        found = judge(sorted(events, key=lambda event: event.at), LIMITS)
+@pytest.mark.parametrize("rule", HISTORIES_BY_RULE)
+def test_each_broken_rule_is_found_with_the_history_of_its_job(rule: str) -> None:
+    for events in HISTORIES_BY_RULE[rule]:
+        found = find_breaches(sorted(events, key=lambda event: event.at), LIMITS)
         assert [breach.rule for breach in found] == [rule], found
         assert found[0].history or rule in ("nothing_ran", "invented")
 
 
-def test_a_history_that_keeps_the_rules_has_no_breach() -> None:
+def test_a_history_that_keeps_all_rules_has_no_breach() -> None:
     events: list[AnyEvent] = [
         described(tasks=3, spread=True), ACCEPTED,
         start(2.0), start(2.0, task="run-1/1"), start(2.0, "n-2", "run-1/2", zone="b"),
         stop(3.0), start(4.0, "n-2", attempt=2, zone="b"),  # lost on one machine, then started on another
         stop(5.0, "n-2", attempt=2, done=True), stop(5.0, task="run-1/1", done=True),
         stop(6.0, "n-2", "run-1/2", done=True),
-        answer(9.0, "poll", "done"), answer(9.5, "poll", "running", asked=5.0),  # asked before anybody was told
+        answer(9.0, "poll", "done"), answer(9.5, "poll", "running", asked=5.0),  # asked before it was done
         described("run-2"), answer(10.0, "submit", "queued", 201, "run-2"), start(11.0, task="run-2/0"),
         answer(12.0, "cancel", "withdrawn", job="run-2"), stop(41.0, task="run-2/0"),
     ]  # fmt: skip
-    assert judge(sorted(events, key=lambda event: event.at), LIMITS) == []
+    assert find_breaches(sorted(events, key=lambda event: event.at), LIMITS) == []
--- a/tests/scale/test_runs.py
+++ b/tests/scale/test_runs.py
@@ -1,4 +1,4 @@
-"""Scenarios are checked with the place of a mistake; a small run plays to its end and leaves no process behind."""
+"""Mistakes in scenarios are reported with their field; a small run completes and leaves no process behind."""
 
 import os
 import signal
@@ -12,7 +12,7 @@
 from pepperlatch.scale import resource_limits, results, scenario
 from pepperlatch.scale.addresses import Addresses
 from pepperlatch.scale.cloud import Fleet
-from pepperlatch.scale.deployment import controller_zones, settings_text
+from pepperlatch.scale.controller_settings import controller_zones, settings_text
 from pepperlatch.settings import parse
 
 SMALL = """
@@ -46,13 +46,13 @@
         ('name = "b"', 'name = "a"', "zones: 'a' stands there twice"),
     ],
 )
-def test_a_mistake_in_a_scenario_is_told_with_its_place(old: str, new: str, said: str) -> None:
+def test_a_mistake_in_a_scenario_is_reported_with_its_field(old: str, new: str, said: str) -> None:
     with pytest.raises(scenario.ScenarioError) as caught:
         scenario.parse(SMALL.replace(old, new))
     assert said in str(caught.value)
 
 
-def test_shipped_scenarios_are_sound_and_give_sound_settings() -> None:
+def test_shipped_scenarios_are_valid_and_give_valid_settings() -> None:
     assert {"small", "today", "two-years", "idle"} <= set(scenario.shipped_names())
     for name in scenario.shipped_names():
         played = scenario.load(name)
@@ -77,7 +77,7 @@
         assert said in capsys.readouterr().err
 
 
-def test_a_small_run_with_real_controllers_keeps_the_rules_and_ends_all(
+def test_a_small_run_with_real_controllers_keeps_all_rules_and_leaves_no_process(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path, report, kept = tmp_path / "small.toml", tmp_path / "one.json", tmp_path / "kept"
@@ -94,7 +94,7 @@
     assert not _processes_of(kept)
 
 
-def test_a_run_that_is_asked_to_end_ends_all_its_processes(tmp_path: Path) -> None:
+def test_a_run_that_receives_sigterm_ends_all_its_processes(tmp_path: Path) -> None:
     path, kept = tmp_path / "long.toml", tmp_path / "kept"
     path.write_text(SMALL.replace("length_s = 5.0", "length_s = 500.0"), "utf-8")
     command = [sys.executable, "-m", "pepperlatch.command.cli", "scale", str(path), "--keep", str(kept)]
@@ -107,7 +107,7 @@
 
 
 def _processes_of(folder: Path) -> list[str]:
-    """Command lines of living processes that name the folder of a run."""
+    """Command lines of running processes that contain the folder of a run."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit() and int(entry.name) != os.getpid():
--- a/tests/scale/test_services.py
+++ b/tests/scale/test_services.py
@@ -1,4 +1,4 @@
-"""The hollow state service and cloud keep PROTOCOL's conditions, leases, watches, limits and names."""
+"""The simulated state service and cloud follow PROTOCOL in conditions, leases, watches, limits and machine names."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -10,9 +10,9 @@
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
 from pepperlatch.scale.addresses import Addresses
-from pepperlatch.scale.cloud import Cloud
+from pepperlatch.scale.cloud import SimulatedCloud
 from pepperlatch.scale.scenario import Scenario, StateLimits, Zone
-from pepperlatch.scale.state_service import StateService
+from pepperlatch.scale.state_service import SimulatedStateService
 
 Handler = Callable[[Request], Awaitable[Response]]
 
@@ -23,24 +23,28 @@
     return response.status, plain
 
 
-def with_state(story: Callable[[StateService], Awaitable[None]], limits: StateLimits | None = None) -> None:
+def run_with_state_service(
+    steps: Callable[[SimulatedStateService], Awaitable[None]], limits: StateLimits | None = None
+) -> None:
     async def main() -> None:
-        state = StateService(limits or StateLimits(), trio.current_time)
+        state = SimulatedStateService(limits or StateLimits(), trio.current_time)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(state.end_leases)
-            await story(state)
+            nursery.start_soon(state.expire_leases)
+            await steps(state)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def put(state: StateService, key: str, value: Any, version: int = 0, lease: int | None = None) -> tuple[int, Any]:
+async def put(
+    state: SimulatedStateService, key: str, value: Any, version: int = 0, lease: int | None = None
+) -> tuple[int, Any]:
     body = wire.txn_body([wire.version_condition(key, version)], [wire.put(key, value, lease)])
     return await ask(state.handle, "POST", wire.TXN_PATH, body)
 
 
-def test_transactions_are_conditional_and_pages_are_in_order() -> None:
-    async def story(state: StateService) -> None:
+def test_transactions_are_conditional_and_pages_are_ordered() -> None:
+    async def steps(state: SimulatedStateService) -> None:
         assert await put(state, "a/2", 1) == (200, {"ledger_mark": 1})
         assert await put(state, "a/2", 2) == (409, {"failed": ["a/2"], "ledger_mark": 1})
         await put(state, "a/1", 1)
@@ -52,11 +56,11 @@
         assert (await ask(state.handle, "GET", "/keys/a/9"))[0] == 404
         assert (await ask(state.handle, "POST", wire.TXN_PATH, {"writes": [{"set": "no key", "value": 1}]}))[0] == 400
 
-    with_state(story)
+    run_with_state_service(steps)
 
 
-def test_a_lease_that_nobody_renews_takes_its_keys_along_never_early() -> None:
-    async def story(state: StateService) -> None:
+def test_the_keys_of_a_lease_that_is_not_renewed_are_deleted_and_never_early() -> None:
+    async def steps(state: SimulatedStateService) -> None:
         _, granted = await ask(state.handle, "POST", wire.LEASES_PATH, wire.lease_body(1000))
         lease = wire.lease_of(granted)
         await put(state, "a", 1, lease=lease)
@@ -69,11 +73,11 @@
         assert (await ask(state.handle, "POST", f"{wire.LEASES_PATH}/{lease}/touch"))[0] == 404
         assert (await put(state, "a", 1, lease=lease))[1] == {"error": "no such lease"}
 
-    with_state(story)
+    run_with_state_service(steps)
 
 
-def test_a_watch_waits_for_its_prefix_and_old_changes_are_forgotten() -> None:
-    async def story(state: StateService) -> None:
+def test_a_watch_waits_for_changes_below_its_prefix_and_old_changes_are_discarded() -> None:
+    async def steps(state: SimulatedStateService) -> None:
         answers: list[Any] = []
 
         async def watch() -> None:
@@ -92,11 +96,11 @@
             await ask(state.handle, "POST", wire.TXN_PATH, wire.txn_body([], writes))
         assert (await ask(state.handle, "GET", wire.watch_path("a/", 0, 0)))[0] == 410
 
-    with_state(story, StateLimits(rps=1e6, write_rps=1e6))
+    run_with_state_service(steps, StateLimits(rps=1e6, write_rps=1e6))
 
 
-def test_what_is_beyond_the_limits_is_refused() -> None:
-    async def story(state: StateService) -> None:
+def test_requests_above_the_limits_are_refused() -> None:
+    async def steps(state: SimulatedStateService) -> None:
         await trio.sleep(1.0)
         statuses = [(await ask(state.handle, "GET", "/keys/a"))[0] for _ in range(12)]
         assert statuses == [404] * 10 + [429] * 2
@@ -107,11 +111,11 @@
         assert (await ask(state.handle, "POST", wire.TXN_PATH, three))[0] == 400
         assert (await put(state, "a", "x" * 2000))[0] == 400
 
-    with_state(story, StateLimits(rps=10.0, write_rps=4.0, value_kb=1.0, txn_ops=2))
+    run_with_state_service(steps, StateLimits(rps=10.0, write_rps=4.0, value_kb=1.0, txn_ops=2))
 
 
-def test_the_cloud_repeats_its_answers_and_never_a_name() -> None:
-    async def story() -> None:
+def test_the_cloud_repeats_answers_to_a_request_and_never_reuses_a_name() -> None:
+    async def steps() -> None:
         booted: list[int] = []
         ended: list[int] = []
 
@@ -119,7 +123,7 @@
             ended.extend(numbers)
 
         scenario = Scenario("x", 1, 2, [Zone("a", "r"), Zone("b", "r")], 1.0, spare_workers=2)
-        cloud = Cloud(scenario, Addresses(1), trio.current_time, booted.extend, end)
+        cloud = SimulatedCloud(scenario, Addresses(1), trio.current_time, booted.extend, end)
         hire = wire.hire_body("r-1", "m1", "a", False, 5)
         first = await ask(cloud.handle, "POST", wire.MACHINES_PATH, hire)
         assert first == (200, {"perches": ["n-000002"]})
@@ -135,4 +139,4 @@
         again = {**hire, "hire": "r-2"}
         assert (await ask(cloud.handle, "POST", wire.MACHINES_PATH, again))[0] == 503
 
-    trio.run(story, clock=trio.testing.MockClock(autojump_threshold=0))
+    trio.run(steps, clock=trio.testing.MockClock(autojump_threshold=0))
