--- a/pepperlatch/scale/history.py
+++ b/pepperlatch/scale/history.py
@@ -12,7 +12,10 @@
 
 
 class Event(msgspec.Struct, tag_field="event"):
-    """`at`: seconds of the monotonic clock, which all processes of the machine share."""
+    """`at`: seconds of the monotonic clock, which all processes of the machine share.
+
+    Breaches show events by their `repr`, so the names of these classes and their fields are part of results.
+    """
 
     at: float
 
--- a/pepperlatch/scale/machine.py
+++ b/pepperlatch/scale/machine.py
@@ -50,7 +50,7 @@
     attempt: int
 
     @classmethod
-    def of(cls, plain: dict[str, Any]) -> "Command":
+    def from_wire(cls, plain: dict[str, Any]) -> "Command":
         """The command in its wire form. Raises KeyError if a field is missing."""
         return cls(plain["verb"], plain["piece"], plain["try"])
 
@@ -64,7 +64,7 @@
 
     name: str
     address: str
-    kind: str
+    type_name: str
     zone: str
     shape: MachineShape
     times: WorkerTimes
@@ -89,7 +89,7 @@
         self.report_count += 1
         rows = [self._row(key, task) for key, task in self.tasks.items()]
         return {
-            "perch": self.name, "endpoint": self.address, "build": self.kind, "yard": self.zone, "loaners": False,
+            "perch": self.name, "endpoint": self.address, "build": self.type_name, "yard": self.zone, "loaners": False,
             "tenure": self.session, "tally": self.report_count, "baton": self.token, "reclaim_in_s": None,
             "pieces": rows,
         }  # fmt: skip
@@ -141,7 +141,7 @@
     def execute(self, orders: list[dict[str, Any]], now: float) -> None:
         """Carry out commands; those that do not apply to the state of their task have no effect."""
         for plain in orders:
-            command = Command.of(plain)
+            command = Command.from_wire(plain)
             key = (command.task, command.attempt)
             task = self.tasks.get(key)
             if command.verb == "launch" and task is None:
--- a/pepperlatch/scale/runner.py
+++ b/pepperlatch/scale/runner.py
@@ -67,7 +67,7 @@
     def __post_init__(self) -> None:
         self._random = random.Random(f"{self.scenario.seed} troubles")
         self._network = HttpNetwork(128)
-        self._hosts = [self.addresses.host(index) for index in range(self.scenario.hosts)]
+        self._host_addresses = [self.addresses.host(index) for index in range(self.scenario.hosts)]
         self._controllers = [
             controller_process(controller_name(index), self.program, self.folder)
             for index in range(self.scenario.controllers)
@@ -75,7 +75,7 @@
         self._services = simulated_process("services", "services", self.folder)
         self._users = simulated_process("users", "users", self.folder)
         self._host_processes = [
-            simulated_process(f"host-{index}", "host", self.folder, index) for index in range(len(self._hosts))
+            simulated_process(f"host-{index}", "host", self.folder, index) for index in range(len(self._host_addresses))
         ]
         self._history = HistoryWriter(self.folder / "run.jsonl")
         self._live_machines = set(range(self.scenario.workers))
@@ -191,7 +191,7 @@
 
     async def _start_measuring(self) -> None:
         """Reset the figures of all processes; last, the users begin to submit jobs."""
-        await control.send_to_all(self._network, self._hosts, control.START_MEASURING_PATH)
+        await control.send_to_all(self._network, self._host_addresses, control.START_MEASURING_PATH)
         await control.send(self._network, self.addresses.cloud(), control.START_MEASURING_PATH)
         for process in self._all_processes():
             process.start_measuring()
@@ -218,7 +218,7 @@
             await self._kill_controllers(trouble)
         elif isinstance(trouble, CutZone):
             await control.send_to_all(
-                self._network, self._hosts, control.CUT_ZONE_PATH, control.ZoneCut(trouble.zone, trouble.for_s)
+                self._network, self._host_addresses, control.CUT_ZONE_PATH, control.ZoneCut(trouble.zone, trouble.for_s)
             )
         else:
             await self._disturb_machines(trouble)
@@ -250,7 +250,7 @@
         numbers = self._random.sample(candidates, min(trouble.count, len(candidates)))
         await control.send_to_all(
             self._network,
-            self._hosts,
+            self._host_addresses,
             control.DISTURB_MACHINES_PATH,
             control.MachineDisturbance(trouble.action, numbers, trouble.for_s),
         )
@@ -269,10 +269,10 @@
         """
         for process in self._all_processes():
             process.update_usage()
-        host_answers = await control.send_to_all(self._network, self._hosts, control.STATISTICS_PATH)
+        host_answers = await control.send_to_all(self._network, self._host_addresses, control.STATISTICS_PATH)
         services = await control.send(self._network, self.addresses.cloud(), control.STATISTICS_PATH)
         users = await control.send(self._network, self.addresses.users(), control.STATISTICS_PATH)
-        for address in [*self._hosts, self.addresses.users()]:
+        for address in [*self._host_addresses, self.addresses.users()]:
             await control.send(self._network, address, control.FLUSH_HISTORY_PATH)
         self._observed_leaders.append(await self._leader())
         stop_all(self._all_processes())
--- a/pepperlatch/scale/services.py
+++ b/pepperlatch/scale/services.py
@@ -22,7 +22,7 @@
 
     def __init__(self, plan: control.Plan) -> None:
         self._addresses = Addresses(plan.port)
-        self._hosts = [self._addresses.host(index) for index in range(plan.scenario.hosts)]
+        self._host_addresses = [self._addresses.host(index) for index in range(plan.scenario.hosts)]
         self._network = HttpNetwork(64)
         self._state = SimulatedStateService(plan.scenario.state, time.monotonic)
         self._nursery: trio.Nursery | None = None
@@ -31,6 +31,7 @@
         )
 
     async def run(self) -> None:
+        """Serve until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for handler, address in (
@@ -55,14 +56,14 @@
             self._nursery.start_soon(
                 control.send_to_all,
                 self._network,
-                self._hosts,
+                self._host_addresses,
                 control.BOOT_MACHINES_PATH,
                 control.MachineNumbers(numbers),
             )
 
     async def _end_machines(self, numbers: list[int]) -> None:
         await control.send_to_all(
-            self._network, self._hosts, control.END_MACHINES_PATH, control.MachineNumbers(numbers)
+            self._network, self._host_addresses, control.END_MACHINES_PATH, control.MachineNumbers(numbers)
         )
 
     async def _start_measuring(self, body: bytes) -> dict[str, Any]:
--- a/pepperlatch/scale/users.py
+++ b/pepperlatch/scale/users.py
@@ -154,7 +154,7 @@
         self.addresses = Addresses(plan.port)
         self.balancer = LoadBalancer(self.addresses, plan.scenario.controllers)
         self.history = HistoryWriter(Path(plan.folder) / "users.jsonl")
-        self._hosts = [self.addresses.host(index) for index in range(plan.scenario.hosts)]
+        self._host_addresses = [self.addresses.host(index) for index in range(plan.scenario.hosts)]
         self._network = HttpNetwork(64)
         self._in_force_delays = Delays()
         self._changes_failed = 0
@@ -162,6 +162,7 @@
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
+        """Serve the control interface and probe the controllers; load begins with START_MEASURING_PATH."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             host, port = split_address(self.addresses.users())
@@ -212,7 +213,7 @@
         self._job_count += 1
         spec = self._make_spec(job_class, self._job_count)
         needs = control.JobDescriptions({spec.id: job_needs(spec)})
-        await control.send_to_all(self._network, self._hosts, control.JOBS_PATH, needs)
+        await control.send_to_all(self._network, self._host_addresses, control.JOBS_PATH, needs)
         description = JobDescribed(
             time.monotonic(), spec.id, spec.team, job_class.name, job_class.shape, spec.tasks, spec.cpus, spec.zone,
             spec.one_zone, spec.spread,
--- a/pepperlatch/scale/worker_host.py
+++ b/pepperlatch/scale/worker_host.py
@@ -104,7 +104,12 @@
             await trio.sleep(max(0.0, started + c.MIN_REPORT_INTERVAL_S - time.monotonic()))
 
     async def _send_report(self, sent_at: float) -> float:
-        """Send one report; returns the seconds to wait before another controller is tried, 0 to stay with this one."""
+        """Send one report; returns the seconds to wait before the next one, 0 for the usual interval.
+
+        An answer that is late, or comes while the machine is paused, is dropped; the next report goes to the same
+        controller. So it does after a 200. After a 421 it goes to the controller that this names, and otherwise to the
+        next controller by index.
+        """
         controller_index, session, body = self._controller_index, self.machine.session, self.machine.report()
         self.machine.changed = False
         address = self._host.addresses.controller(controller_index)
@@ -175,6 +180,7 @@
         }
 
     async def run(self) -> None:
+        """Serve the control interface and start the workers of all machines that are rented from the start."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             address, port = split_address(self.addresses.host(self._index))
--- a/tests/scale/test_runs.py
+++ b/tests/scale/test_runs.py
@@ -55,14 +55,14 @@
 def test_shipped_scenarios_are_valid_and_give_valid_settings() -> None:
     assert {"small", "today", "two-years", "idle"} <= set(scenario.shipped_names())
     for name in scenario.shipped_names():
-        played = scenario.load(name)
-        settings = parse(settings_text(played, Addresses(20_000), 0))
-        assert (settings.params.nodes, len(settings.params.teams)) == (played.controllers, played.teams.count)
-        assert len(set(controller_zones(played))) == min(played.controllers, len(played.zones))
-        quarter = played.scaled(0.25)
-        assert quarter.workers == played.workers / 4
+        loaded = scenario.load(name)
+        settings = parse(settings_text(loaded, Addresses(20_000), 0))
+        assert (settings.params.nodes, len(settings.params.teams)) == (loaded.controllers, loaded.teams.count)
+        assert len(set(controller_zones(loaded))) == min(loaded.controllers, len(loaded.zones))
+        quarter = loaded.scaled(0.25)
+        assert quarter.workers == loaded.workers / 4
         fleet = Fleet(quarter)
-        assert {fleet.zone(number) for number in range(quarter.workers)} == {zone.name for zone in played.zones}
+        assert {fleet.zone(number) for number in range(quarter.workers)} == {zone.name for zone in loaded.zones}
 
 
 def test_a_run_that_is_too_large_is_refused_before_it_starts(
