--- a/tests/scale/test_runs.py
+++ b/tests/scale/test_runs.py
@@ -1,4 +1,4 @@
-"""Scenarios are checked with the place of a mistake; a small run plays to its end and leaves no process behind."""
+"""Mistakes in scenarios are reported with their field; a small run completes and leaves no process behind."""
 
 import os
 import signal
@@ -9,10 +9,10 @@
 import pytest
 
 from pepperlatch.command.cli import main
-from pepperlatch.scale import bounds, results, scenario
+from pepperlatch.scale import resource_limits, results, scenario
 from pepperlatch.scale.addresses import Addresses
 from pepperlatch.scale.cloud import Fleet
-from pepperlatch.scale.deployment import controller_zones, settings_text
+from pepperlatch.scale.controller_settings import controller_zones, settings_text
 from pepperlatch.settings import parse
 
 SMALL = """
@@ -46,23 +46,23 @@
         ('name = "b"', 'name = "a"', "zones: 'a' stands there twice"),
     ],
 )
-def test_a_mistake_in_a_scenario_is_told_with_its_place(old: str, new: str, said: str) -> None:
+def test_a_mistake_in_a_scenario_is_reported_with_its_field(old: str, new: str, said: str) -> None:
     with pytest.raises(scenario.ScenarioError) as caught:
         scenario.parse(SMALL.replace(old, new))
     assert said in str(caught.value)
 
 
-def test_shipped_scenarios_are_sound_and_give_sound_settings() -> None:
+def test_shipped_scenarios_are_valid_and_give_valid_settings() -> None:
     assert {"small", "today", "two-years", "idle"} <= set(scenario.shipped_names())
     for name in scenario.shipped_names():
-        played = scenario.load(name)
-        settings = parse(settings_text(played, Addresses(20_000), 0))
-        assert (settings.params.nodes, len(settings.params.teams)) == (played.controllers, played.teams.count)
-        assert len(set(controller_zones(played))) == min(played.controllers, len(played.zones))
-        quarter = played.scaled(0.25)
-        assert quarter.workers == played.workers / 4
+        loaded = scenario.load(name)
+        settings = parse(settings_text(loaded, Addresses(20_000), 0))
+        assert (settings.params.nodes, len(settings.params.teams)) == (loaded.controllers, loaded.teams.count)
+        assert len(set(controller_zones(loaded))) == min(loaded.controllers, len(loaded.zones))
+        quarter = loaded.scaled(0.25)
+        assert quarter.workers == loaded.workers / 4
         fleet = Fleet(quarter)
-        assert {fleet.zone(number) for number in range(quarter.workers)} == {zone.name for zone in played.zones}
+        assert {fleet.zone(number) for number in range(quarter.workers)} == {zone.name for zone in loaded.zones}
 
 
 def test_a_run_that_is_too_large_is_refused_before_it_starts(
@@ -71,13 +71,13 @@
     for change, said in ((("hosts = 1", "hosts = 400"), "processes"), (("workers = 20", "workers = 90000"), "MB")):
         path = tmp_path / "large.toml"
         path.write_text(SMALL.replace(*change), "utf-8")
-        with pytest.raises(bounds.TooLarge, match=said):
-            bounds.check(scenario.load(str(path)))
+        with pytest.raises(resource_limits.TooLarge, match=said):
+            resource_limits.check(scenario.load(str(path)))
         assert main(["scale", str(path)]) == 2
         assert said in capsys.readouterr().err
 
 
-def test_a_small_run_with_real_controllers_keeps_the_rules_and_ends_all(
+def test_a_small_run_with_real_controllers_keeps_all_rules_and_leaves_no_process(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path, report, kept = tmp_path / "small.toml", tmp_path / "one.json", tmp_path / "kept"
@@ -94,7 +94,7 @@
     assert not _processes_of(kept)
 
 
-def test_a_run_that_is_asked_to_end_ends_all_its_processes(tmp_path: Path) -> None:
+def test_a_run_that_receives_sigterm_ends_all_its_processes(tmp_path: Path) -> None:
     path, kept = tmp_path / "long.toml", tmp_path / "kept"
     path.write_text(SMALL.replace("length_s = 5.0", "length_s = 500.0"), "utf-8")
     command = [sys.executable, "-m", "pepperlatch.command.cli", "scale", str(path), "--keep", str(kept)]
@@ -107,7 +107,7 @@
 
 
 def _processes_of(folder: Path) -> list[str]:
-    """Command lines of living processes that name the folder of a run."""
+    """Command lines of running processes that contain the folder of a run."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit() and int(entry.name) != os.getpid():
