--- a/pepperlatch/command/console.py
+++ b/pepperlatch/command/console.py
@@ -10,10 +10,10 @@
 
 from pepperlatch.command import output
 from pepperlatch.command.service import OK, REFUSED, NoAnswer, Service
-from pepperlatch.console import picture
-from pepperlatch.console.feed import Feed, Shown, Wants
-from pepperlatch.console.mirror import Ask, Mirror, Refused, Silent
+from pepperlatch.console import formatting
+from pepperlatch.console.poller import Feed, Shown, Wants
 from pepperlatch.console.rows import BadQuery, plain
+from pepperlatch.console.view_copy import Ask, Mirror, Refused, Silent
 from pepperlatch.constants import console as c
 from pepperlatch.constants import core
 from pepperlatch.protocol.http.client import HttpNetwork
@@ -73,10 +73,10 @@
     if talk.form == "json":
         output.json({**shown.head, "stale": shown.stale, "jobs": plain(shown.rows), **shown.overview})
         return OK
-    output.say(f"{picture.day_and_moment(shown.now, zone)}: {picture.headline(shown.overview)}")
+    output.say(f"{formatting.day_and_moment(shown.now, zone)}: {formatting.headline(shown.overview)}")
     if shown.stale:
         output.say(f"stale: {shown.stale}")
-    output.table(picture.JOB_COLUMNS, [picture.job_cells(row, shown.now) for row in shown.rows])
+    output.table(formatting.JOB_COLUMNS, [formatting.job_cells(row, shown.now) for row in shown.rows])
     return OK
 
 
--- a/pepperlatch/command/serve.py
+++ b/pepperlatch/command/serve.py
@@ -47,7 +47,7 @@
 
         parts.append(lambda core: Pipelines(core, wanted.pipelines))
     if wanted.console.on:
-        from pepperlatch.console.part import Console
+        from pepperlatch.console.extension import Console
 
         parts.append(lambda core: Console(core, wanted.console))
     return parts
--- a/pepperlatch/console/part.py
+++ b/pepperlatch/console/extension.py
@@ -95,7 +95,7 @@
 
     async def run_while_leading(self, term: Term) -> None:
         """Take up what the last leader saved, then save in turn. Cut off anywhere, the last whole saving stays."""
-        from pepperlatch.console.saving import Saving
+        from pepperlatch.console.persistence import Saving
 
         leads = self._leads
         if leads is None or leads[0].term is not term:
--- a/pepperlatch/console/feed.py
+++ b/pepperlatch/console/poller.py
@@ -6,9 +6,9 @@
 
 import trio
 
-from pepperlatch.console.mirror import Mirror, Refused, Silent
-from pepperlatch.console.picture import first_wanted
+from pepperlatch.console.formatting import first_wanted
 from pepperlatch.console.rows import JobRow, Query
+from pepperlatch.console.view_copy import Mirror, Refused, Silent
 from pepperlatch.constants import console as c
 
 
--- a/pepperlatch/console/recorder.py
+++ b/pepperlatch/console/recorder.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from pepperlatch.console.accounts import Money, Recoveries
+from pepperlatch.console.accounting import Money, Recoveries
 from pepperlatch.console.history import Event, History, What
 from pepperlatch.constants import console as c
 from pepperlatch.policy.model import Attempt, Job, Machine
--- a/pepperlatch/console/report.py
+++ b/pepperlatch/console/report.py
@@ -11,11 +11,11 @@
 import msgspec
 from jinja2 import Environment, FileSystemLoader, StrictUndefined
 
-from pepperlatch.console import picture
-from pepperlatch.console.mirror import Mirror
-from pepperlatch.console.picture import Group
+from pepperlatch.console import formatting
+from pepperlatch.console.formatting import Group
 from pepperlatch.console.public import Hidden
 from pepperlatch.console.rows import JobRow
+from pepperlatch.console.view_copy import Mirror
 from pepperlatch.constants import console as c
 from pepperlatch.policy.reasons import counted
 
@@ -38,7 +38,7 @@
 async def gather(mirror: Mirror, lines: int = c.REPORT_LINES) -> Content:
     """Ask for everything once. Raises Silent or Refused if nobody answers for the jobs; the rest may be missing."""
     await mirror.complete(c.SEARCH_ROWS + 1)
-    rows = sorted(mirror.rows.values(), key=picture.first_wanted)
+    rows = sorted(mirror.rows.values(), key=formatting.first_wanted)
     content = Content(dict(mirror.head), rows[: c.SEARCH_ROWS], {}, mirror.stale())
     await mirror.look_over()
     content.overview = dict(mirror.overview)
@@ -91,7 +91,7 @@
 
 
 def machine_bars(totals: Iterable[dict[str, Any]]) -> list[Bar]:
-    counts = picture.machine_counts(totals)
+    counts = formatting.machine_counts(totals)
     most = max(counts.values(), default=1)
     return [Bar(state, str(count), count / most) for state, count in counts.items()]
 
@@ -104,7 +104,7 @@
         loader=FileSystemLoader(TEMPLATES), autoescape=True, undefined=StrictUndefined, trim_blocks=True,
         lstrip_blocks=True,
     )  # fmt: skip
-    made.filters["span"] = picture.span
+    made.filters["span"] = formatting.span
     return made
 
 
@@ -113,23 +113,23 @@
     script = (TEMPLATES / "search.js").read_text("utf-8")
     digest = base64.b64encode(hashlib.sha256(script.encode("utf-8")).digest()).decode("ascii")
     now = content.head.get("at") or 0.0
-    found = picture.groups(content.rows)
+    found = formatting.groups(content.rows)
     return _environment().get_template("report.html.j2").render(
         title=title,
         now=now,
-        moment=lambda at: picture.moment(at, zone),
-        made_at=picture.day_and_moment(now, zone),
-        zone=picture.zone_name(zone, now),
+        moment=lambda at: formatting.moment(at, zone),
+        made_at=formatting.day_and_moment(now, zone),
+        zone=formatting.zone_name(zone, now),
         content=content,
-        headline=picture.headline(content.overview),
+        headline=formatting.headline(content.overview),
         groups=found,
         wait_bars=wait_bars(found),
         team_bars=team_bars(content.overview.get("teams", [])),
         machine_bars=machine_bars(content.overview.get("machines", [])),
-        reason=lambda row: picture.reason_text(row, now),
+        reason=lambda row: formatting.reason_text(row, now),
         tables=_tables(content, zone, now),
-        lines=[(row, detail, picture.line_cells(detail["line"], zone, now)) for row, detail in content.lines],
-        order_text=picture.order_text,
+        lines=[(row, detail, formatting.line_cells(detail["line"], zone, now)) for row, detail in content.lines],
+        order_text=formatting.order_text,
         script=script,
         script_hash=digest,
     )  # fmt: skip
@@ -140,12 +140,12 @@
     overview = content.overview
     money = overview.get("money")
     found: list[tuple[str, Sequence[str], list[list[str]]]] = [
-        ("What is waited for", picture.WAIT_COLUMNS, picture.wait_cells(overview.get("waits", []), now)),
-        ("Teams", picture.TEAM_COLUMNS, picture.team_cells(overview.get("teams", []))),
-        ("Recoveries", picture.RECOVERY_COLUMNS, picture.recovery_cells(overview.get("recoveries", []))),
-        ("Events", picture.EVENT_COLUMNS, picture.event_cells(content.events[: c.REPORT_EVENTS], zone)),
+        ("What is waited for", formatting.WAIT_COLUMNS, formatting.wait_cells(overview.get("waits", []), now)),
+        ("Teams", formatting.TEAM_COLUMNS, formatting.team_cells(overview.get("teams", []))),
+        ("Recoveries", formatting.RECOVERY_COLUMNS, formatting.recovery_cells(overview.get("recoveries", []))),
+        ("Events", formatting.EVENT_COLUMNS, formatting.event_cells(content.events[: c.REPORT_EVENTS], zone)),
     ]
     if money:
-        title = f"Money of the last {picture.span(money['over_s'])}"
-        found.insert(3, (title, picture.MONEY_COLUMNS, picture.money_cells(money)))
+        title = f"Money of the last {formatting.span(money['over_s'])}"
+        found.insert(3, (title, formatting.MONEY_COLUMNS, formatting.money_cells(money)))
     return [table for table in found if table[2]]
--- a/pepperlatch/console/terminal.py
+++ b/pepperlatch/console/terminal.py
@@ -17,8 +17,8 @@
 from textual.containers import Vertical
 from textual.widgets import DataTable, Footer, Input, Static, TabbedContent, TabPane
 
-from pepperlatch.console import picture
-from pepperlatch.console.feed import Feed, Shown, Wants
+from pepperlatch.console import formatting
+from pepperlatch.console.poller import Feed, Shown, Wants
 from pepperlatch.console.rows import BadQuery, Query, parse
 from pepperlatch.constants import console as c
 
@@ -141,7 +141,7 @@
         if event.data_table.id == "table-jobs" and self._last is not None:
             job = self._table("jobs").current()
             row = next((row for row in self._last.rows if row.id == job), None)
-            self.query_one("#whole", Static).update(picture.reason_text(row, self._last.now) if row else "")
+            self.query_one("#whole", Static).update(formatting.reason_text(row, self._last.now) if row else "")
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
         table = event.data_table
@@ -177,15 +177,15 @@
         if view == "job":
             return self._job(shown)
         if view == "machines":
-            counts = picture.machine_counts(overview.get("machines", []))
+            counts = formatting.machine_counts(overview.get("machines", []))
             words = ", ".join(f"{count} {state}" for state, count in counts.items())
-            return words, picture.MACHINE_COLUMNS, picture.machine_cells(shown.listed)
+            return words, formatting.MACHINE_COLUMNS, formatting.machine_cells(shown.listed)
         if view == "teams":
-            return "", picture.TEAM_COLUMNS, picture.team_cells(overview.get("teams", []))
+            return "", formatting.TEAM_COLUMNS, formatting.team_cells(overview.get("teams", []))
         if view == "events":
-            return "", picture.EVENT_COLUMNS, picture.event_cells(shown.listed, self._zone)
-        waits = picture.wait_cells(overview.get("waits", []), shown.now)
-        return picture.headline(overview), picture.WAIT_COLUMNS, waits
+            return "", formatting.EVENT_COLUMNS, formatting.event_cells(shown.listed, self._zone)
+        waits = formatting.wait_cells(overview.get("waits", []), shown.now)
+        return formatting.headline(overview), formatting.WAIT_COLUMNS, waits
 
     def _jobs(self, shown: Shown) -> tuple[str, Sequence[str], list[list[str]]]:
         found = shown.rows[: c.ROWS_SHOWN]
@@ -193,29 +193,29 @@
         words = f"{len(shown.rows)} jobs" + (f", the first {len(found)} shown: filter with /" if more else "")
         if shown.behind:
             words += "; more has changed than this link is sent, the rest follows"
-        rows = [picture.job_cells(row, shown.now) for row in found]
-        columns = picture.JOB_COLUMNS if self.size.width >= NARROW else picture.NARROW_COLUMNS
+        rows = [formatting.job_cells(row, shown.now) for row in found]
+        columns = formatting.JOB_COLUMNS if self.size.width >= NARROW else formatting.NARROW_COLUMNS
         return words, columns, [row[: len(columns)] for row in rows]
 
     def _job(self, shown: Shown) -> tuple[str, Sequence[str], list[list[str]]]:
         if not self._wants.job:
-            return "choose a job with Enter in the list", picture.LINE_COLUMNS, []
+            return "choose a job with Enter in the list", formatting.LINE_COLUMNS, []
         lines = [f"{self._wants.job}: {shown.detail.get('state', '...')}"]
         row = next((row for row in shown.rows if row.id == self._wants.job), None)
         if row is not None:
-            lines.append(picture.reason_text(row, shown.now))
+            lines.append(formatting.reason_text(row, shown.now))
             lines.append(f"this changes when: {shown.detail.get('changes_when', '')}")
-        lines.append(picture.order_text(shown.detail.get("order")))
+        lines.append(formatting.order_text(shown.detail.get("order")))
         line = shown.detail.get("line", [])[-c.LINES_SHOWN :]
-        cells = picture.line_cells(line, self._zone, shown.now)
-        return "\n".join(text for text in lines if text), picture.LINE_COLUMNS, cells
+        cells = formatting.line_cells(line, self._zone, shown.now)
+        return "\n".join(text for text in lines if text), formatting.LINE_COLUMNS, cells
 
 
 def _head(shown: Shown, zone: tzinfo | None) -> str:
     if not shown.head:
         return "nobody has answered yet"
     head = shown.head
-    at = picture.day_and_moment(head["at"], zone) if head.get("at") else ""
+    at = formatting.day_and_moment(head["at"], zone) if head.get("at") else ""
     return f"{at}  {head.get('leader') or 'nobody'} leads, seen at {head.get('node')}"
 
 
--- a/tests/console/helpers.py
+++ b/tests/console/helpers.py
@@ -5,9 +5,9 @@
 import trio
 
 from pepperlatch import features
-from pepperlatch.console.mirror import Mirror, Silent
-from pepperlatch.console.part import Console
+from pepperlatch.console.extension import Console
 from pepperlatch.console.rows import Query
+from pepperlatch.console.view_copy import Mirror, Silent
 from pepperlatch.constants import console as c
 from pepperlatch.controller.extensions import ExtensionContext
 from pepperlatch.protocol.http.client import Lost, NotSent
--- a/tests/console/measure.py
+++ b/tests/console/measure.py
@@ -17,10 +17,10 @@
 import tests.fakes as fakes
 from pepperlatch import features
 from pepperlatch.console import report
-from pepperlatch.console.feed import Feed, Wants
-from pepperlatch.console.mirror import Mirror, Silent
-from pepperlatch.console.part import Console
+from pepperlatch.console.extension import Console
+from pepperlatch.console.poller import Feed, Wants
 from pepperlatch.console.rows import Query
+from pepperlatch.console.view_copy import Mirror, Silent
 from pepperlatch.constants import console as c
 from pepperlatch.controller import store
 from pepperlatch.protocol import wire
--- a/tests/console/pictures.py
+++ b/tests/console/pictures.py
@@ -13,7 +13,7 @@
 import trio
 
 from pepperlatch.console import report
-from pepperlatch.console.feed import Feed, Shown, Wants
+from pepperlatch.console.poller import Feed, Shown, Wants
 from pepperlatch.console.rows import Query
 from pepperlatch.console.terminal import ConsoleApp, read_filter
 from tests.console.helpers import busy_day, mirror_of, next_leader, part
--- a/tests/console/test_history.py
+++ b/tests/console/test_history.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from pepperlatch.console.accounts import BOOT, FREE, IDLE, Money, Recoveries
+from pepperlatch.console.accounting import BOOT, FREE, IDLE, Money, Recoveries
 from pepperlatch.console.history import Event, Foreign, History, Saved, What
 from pepperlatch.constants import console as c
 from pepperlatch.policy.cluster import Cluster
--- a/tests/console/test_faces.py
+++ b/tests/console/test_terminal_and_report.py
@@ -13,12 +13,12 @@
 import trio
 
 from pepperlatch.command import cli
-from pepperlatch.console import picture, report
-from pepperlatch.console.feed import Feed, Shown, Wants
-from pepperlatch.console.mirror import Mirror
+from pepperlatch.console import formatting, report
+from pepperlatch.console.poller import Feed, Shown, Wants
 from pepperlatch.console.public import Hidden
 from pepperlatch.console.rows import BadQuery, JobRow, Query
 from pepperlatch.console.terminal import ConsoleApp, Live, Table, read_filter
+from pepperlatch.console.view_copy import Mirror
 from pepperlatch.constants import console as c
 from tests.console.helpers import busy_day, mirror_of, part
 from tests.fakes import World, job, story
@@ -95,8 +95,8 @@
     by_console = {cells[0]: cells for cells in terminal_rows(shown, (140, 40))}
     assert len(by_console) == len(shown.rows) >= 11
     for each in shown.rows:
-        words = picture.reason_text(each, shown.now)
-        assert by_console[each.id][4] == words == picture.job_cells(each, shown.now)[4]
+        words = formatting.reason_text(each, shown.now)
+        assert by_console[each.id][4] == words == formatting.job_cells(each, shown.now)[4]
         assert by_page[each.id][-1] == words and by_page[each.id][4] == each.state
 
 
@@ -173,7 +173,7 @@
             await pilot.pause()
             table = app.query_one("#table-jobs", Table)
             assert table.row_count == c.ROWS_SHOWN
-            assert [str(column.label) for column in table.columns.values()] == list(picture.NARROW_COLUMNS)
+            assert [str(column.label) for column in table.columns.values()] == list(formatting.NARROW_COLUMNS)
             assert "STALE: perch-0" in str(app.query_one("#stale").render())
             table.move_cursor(row=5)
             app.show(shown_of(rows[3:]))  # the cursor stays with its job
@@ -241,17 +241,17 @@
 
 
 def test_words_for_spans_moments_and_order() -> None:
-    assert [picture.span(s) for s in (0, 59.4, 60, 125, 3600, 12_000, 200_000)] == [
+    assert [formatting.span(s) for s in (0, 59.4, 60, 125, 3600, 12_000, 200_000)] == [
         "0 s", "59 s", "1 min", "2 min 5 s", "1 h", "3 h 20 min", "2 d 7 h",
     ]  # fmt: skip
-    assert picture.day_and_moment(1e9, ZONE) == "2001-09-09 04:46:40 Asia/Amman (EEST)"
+    assert formatting.day_and_moment(1e9, ZONE) == "2001-09-09 04:46:40 Asia/Amman (EEST)"
     before = [{"id": "run-1", "team": "red", "priority": "urgent", "tasks": 3}]
     order = {"place": 2, "of": 5, "before": before, "before_by_team": {"red": 1}, "within_guarantee": True}
-    assert picture.order_text(order) == (
+    assert formatting.order_text(order) == (
         "2 of 5 without a place; within its team's guarantee; before it: 1 of red; first run-1 (urgent, red)"
     )
     later = row(1, why="a-later-reason")
-    assert picture.groups([later])[0].changes_when == ""
+    assert formatting.groups([later])[0].changes_when == ""
 
 
 def test_the_command_line_prints_and_writes_what_the_service_shows(
--- a/tests/console/test_view.py
+++ b/tests/console/test_view.py
@@ -7,14 +7,14 @@
 import trio
 
 from pepperlatch import features
+from pepperlatch.console.extension import Console
 from pepperlatch.console.history import Event
-from pepperlatch.console.mirror import Refused, Silent
 from pepperlatch.console.model import Model
-from pepperlatch.console.part import Console
+from pepperlatch.console.persistence import PREFIX, Piece, _whole
 from pepperlatch.console.public import Hidden, Public
 from pepperlatch.console.rows import BadQuery, JobRow, Query, parse
-from pepperlatch.console.saving import PREFIX, Piece, _whole
 from pepperlatch.console.tracing import Traces
+from pepperlatch.console.view_copy import Refused, Silent
 from pepperlatch.constants import console as c
 from pepperlatch.controller.extensions import ExtensionContext
 from pepperlatch.controller.leader import Leader
