--- a/pepperlatch/console/__init__.py
+++ b/pepperlatch/console/__init__.py
@@ -1,1 +1,1 @@
-"""What operators and members see: one model of the scheduler, its history, and the faces made from it."""
+"""The operators' and members' view of the scheduler: its data model, job history, terminal console and HTML report."""
--- a/pepperlatch/console/accounting.py
+++ b/pepperlatch/console/accounting.py
@@ -1,4 +1,4 @@
-"""Money by kind of machine, team and class, what of it was useful, and how long losses lasted. No I/O, no clock."""
+"""Costs by machine type, team and job class, the useful share, and recovery times of lost tasks. No I/O, no clock."""
 
 import statistics
 from collections import Counter, defaultdict, deque
@@ -11,7 +11,7 @@
 from pepperlatch.protocol.wire import Kind, TaskState
 
 USE_BOOTING, USE_IDLE, USE_FREE = "booting", "idle", "free room"
-# Ends that are no loss: the job or the task is over, or it never began.
+# Causes of an end that are no loss: the task or its job was over, or the task never began.
 NOT_LOSSES = frozenset(("done", "the job is over", "done already", "not sent"))
 
 
@@ -21,21 +21,24 @@
 
 @dataclass(slots=True)
 class CostAccounting:
-    """Spent since `since`, as far as this leader has seen it; prices in the cloud's own unit.
+    """What this leader has seen spent since `since`, in the cloud's currency unit.
 
-    Each machine's cost is divided by what its room is used for: what tasks ask for (CPUs, or GPUs where there are
-    any), and the rest that nothing uses. The parts add up to the whole.
+    Each machine's cost is split by use: the share of CPUs that each task requests (of GPUs on a machine that has any),
+    and the rest that no task uses. The parts add up to the whole.
     """
 
-    since: float  # steady clock
-    charged_until: float
-    by_machine: dict[tuple[str, str], float] = field(default_factory=_sums)  # (type, spot or ordinary)
-    by_use: dict[tuple[str, str], float] = field(default_factory=_sums)  # (team, class), or ("", what it was not for)
+    since: float  # steady clock, s
+    charged_until: float  # steady clock, s
+    by_machine: dict[tuple[str, str], float] = field(default_factory=_sums)  # (machine type, spot or ordinary)
+    by_use: dict[tuple[str, str], float] = field(default_factory=_sums)  # (team, class), or ("", USE_...)
     paid_cpu_s: float = 0.0
     useful_cpu_s: float = 0.0
 
     def charge(self, machines: Iterable[Machine], now: float) -> None:
-        """Charge the time since the last sample by what is there now."""
+        """Charge the time since the last call according to the present machines and tasks.
+
+        Called every MONEY_EVERY_S, and before the costs are shown. `now`: steady clock, s.
+        """
         elapsed_s, self.charged_until = now - self.charged_until, now
         if elapsed_s <= 0:
             return
@@ -62,7 +65,7 @@
         self.by_use[("", USE_FREE)] += cost * left
 
     def ended(self, attempt: Attempt, cause: str, now: float) -> None:
-        """The run time of a task that completed was useful."""
+        """Count the run time of a completed task as useful."""
         if cause == "done" and attempt.running_at is not None:
             self.useful_cpu_s += (now - attempt.running_at) * attempt.job.spec.cpus
 
@@ -87,24 +90,31 @@
 
 @dataclass(slots=True)
 class LossStats:
+    """Tasks lost through one cause, and the times until they ran again."""
+
     lost: int = 0
     recovered: int = 0
-    durations_s: deque[float] = field(default_factory=lambda: deque(maxlen=c.SAMPLES_KEPT))
+    durations_s: deque[float] = field(default_factory=lambda: deque(maxlen=c.SAMPLES_KEPT))  # the latest
     longest_s: float = 0.0
 
 
 @dataclass(slots=True)
 class Recoveries:
-    """Tasks that ended without being done, by cause, and how long until each ran again."""
+    """Tasks that ended without completing, by cause, and how long it took until each ran again.
+
+    At most LOSSES_MOST lost tasks are tracked until they run again; more are only counted.
+    """
 
     causes: dict[str, LossStats] = field(default_factory=dict)
-    _pending: dict[str, dict[int, tuple[float, str]]] = field(default_factory=dict)  # by job and task
+    _pending: dict[str, dict[int, tuple[float, str]]] = field(
+        default_factory=dict
+    )  # by job and task: when lost, and the cause
     _pending_count: int = 0
 
     def ended(self, attempt: Attempt, cause: str, now: float) -> None:
         if cause in NOT_LOSSES or attempt.running_at is None:
             return
-        label = cause.split(" run-")[0][: c.CAUSE_CHARS]  # "stopped for run-..." is one cause, not one for each job
+        label = cause.split(" run-")[0][: c.CAUSE_CHARS]  # one cause for all "stopped for run-..."
         if label not in self.causes and len(self.causes) >= c.SAMPLES_KEPT:
             label = "other"
         self.causes.setdefault(label, LossStats()).lost += 1
@@ -122,10 +132,11 @@
             cause.longest_s = max(cause.longest_s, elapsed_s)
 
     def job_ended(self, job_id: str) -> None:
-        """Nobody waits for tasks of a job that is over."""
+        """Stop tracking the lost tasks of a job that is over."""
         self._pending_count -= len(self._pending.pop(job_id, ()))
 
     def _remove_pending(self, attempt: Attempt) -> tuple[float, str] | None:
+        """Stop tracking the attempt's task; returns when it was lost and the cause, None if it was not tracked."""
         found = self._pending.get(attempt.job.spec.id, {}).pop(attempt.task, None)
         self._pending_count -= found is not None
         return found
--- a/pepperlatch/console/extension.py
+++ b/pepperlatch/console/extension.py
@@ -1,7 +1,7 @@
-"""The console's part of a controller: thin, so that a start costs next to nothing.
+"""The console as an extension of a controller. Kept small so that it adds little to the start time.
 
-While its node leads it listens, keeps the time lines, and saves them now and then; what answers viewers is imported
-when the first one asks.
+While its node leads, it records events and time lines and saves them every SAVE_EVERY_S. The modules that answer
+viewers are imported at the first request.
 """
 
 import logging
@@ -29,6 +29,8 @@
 
 
 class Console(Extension):
+    """Serves /console and /metrics. `cpu_time` returns the processor time that the process has used, in s."""
+
     name = "console"
     prefix = "c/"
     operator_paths: Sequence[str] = ("/console", "/metrics")
@@ -59,6 +61,7 @@
         return recorder
 
     def _get_view_service(self) -> "ViewService":
+        """The view service, created at the first request."""
         if self._view_service is None:
             from pepperlatch.console.service import ViewService
 
@@ -82,7 +85,7 @@
         return Response(200, text, {"Content-Type": content_type})
 
     async def run(self) -> None:
-        """The rows of those who look, and the members' listener, if there is one."""
+        """Serve the members' listener, if configured, and from the first request on keep the viewers' rows current."""
         async with trio.open_nursery() as nursery:
             if self._config.public.listen:
                 from pepperlatch.console.public import MembersView
@@ -94,7 +97,10 @@
             await self._get_view_service().run()
 
     async def run_while_leading(self, term: Term) -> None:
-        """Take up what the last leader saved, then save in turn. Cut off anywhere, the last whole saving stays."""
+        """Restore the time lines that the last leader saved, then save regularly and charge the machines' costs.
+
+        Cancelled during a save, it leaves the previous save complete.
+        """
         from pepperlatch.console.persistence import TimelinePersistence
 
         leader_and_recorder = self._leader_and_recorder
@@ -111,4 +117,4 @@
             try:
                 await persistence.save()
             except (Away, Unsure) as error:
-                log.debug("time lines are saved later: %s", error)
+                log.debug("state service did not confirm the saved time lines, retrying with the next save: %s", error)
--- a/pepperlatch/console/formatting.py
+++ b/pepperlatch/console/formatting.py
@@ -1,4 +1,7 @@
-"""What both faces show, in words and tables: from the rows to cells. Pure; the zone of the reader is an argument."""
+"""Turns rows and answers into texts and table cells, for the terminal and the report alike. Pure functions.
+
+Parameters named `now` and `at` are times of day in s; `zone` is the reader's time zone, None for the machine's own.
+"""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -27,7 +30,7 @@
 
 
 def duration_text(seconds: float | None) -> str:
-    """`8 s`, `2 min 5 s`, `3 h 20 min`, `2 d 4 h`; empty for None."""
+    """A duration such as `8 s`, `2 min 5 s`, `3 h 20 min` or `2 d 4 h`; empty for None."""
     if seconds is None:
         return ""
     whole = max(0, round(seconds))
@@ -39,26 +42,26 @@
 
 
 def time_text(at: float | None, zone: tzinfo | None) -> str:
-    """Time of day in the reader's zone; None means the machine's own zone."""
+    """Hours, minutes and seconds in the reader's zone; empty for None."""
     if at is None:
         return ""
     return datetime.fromtimestamp(at, UTC).astimezone(zone).strftime("%H:%M:%S")
 
 
 def zone_name(zone: tzinfo | None, at: float) -> str:
-    """As the reader knows it: the name in the tz database, and what clocks there say now."""
+    """The zone's name in the tz database and its abbreviation at that time."""
     short = datetime.fromtimestamp(at, UTC).astimezone(zone).strftime("%Z")
     key = getattr(zone, "key", "")
     return f"{key} ({short})" if key and key != short else short
 
 
 def date_time_text(at: float, zone: tzinfo | None) -> str:
-    """With the zone's name, for titles."""
+    """Date, time and zone name, for titles."""
     return f"{datetime.fromtimestamp(at, UTC).astimezone(zone):%Y-%m-%d %H:%M:%S} {zone_name(zone, at)}"
 
 
 def urgency_key(row: JobRow) -> tuple[Any, ...]:
-    """Waiting before running, urgent before the rest, long waits first."""
+    """Sort key: waiting jobs before running ones, then by priority, then the longest wait first."""
     return (
         row.waiting == 0 and row.state != "queued",
         _PRIORITY_RANKS.get(row.priority, len(Priority)),
@@ -68,7 +71,7 @@
 
 
 def reason_text(row: JobRow, now: float) -> str:
-    """The core's words; the moment beside them, as a span from now."""
+    """The reason's text, with the time left until it may change."""
     if row.until is None or row.until <= now:
         return row.text
     return f"{row.text} (about {duration_text(row.until - now)} more)"
@@ -83,7 +86,7 @@
 
 @dataclass(slots=True)
 class ReasonGroup:
-    """Jobs that wait for the same reason."""
+    """Jobs with the same kind of reason, most urgent first."""
 
     why: str
     rows: list[JobRow]
@@ -98,7 +101,7 @@
 
 
 def group_by_reason(found: Iterable[JobRow]) -> list[ReasonGroup]:
-    """By reason: where most urgent work waits first, what runs last."""
+    """Groups jobs by reason: the group with the most urgent waiting job first, running jobs last."""
     by_why: dict[str, list[JobRow]] = defaultdict(list)
     for row in sorted(found, key=urgency_key):
         by_why[row.why].append(row)
@@ -132,7 +135,7 @@
 
 
 def machine_cells(machines: Iterable[dict[str, Any]]) -> list[list[str]]:
-    """What needs attention first."""
+    """Machines that need attention first."""
     calm = ("busy", "idle", "booting", "joining")
     return [
         [
@@ -148,7 +151,7 @@
 
 
 def timeline_cells(line: Sequence[dict[str, Any]], zone: tzinfo | None, now: float) -> list[list[str]]:
-    """A time line; a reason's span lasts until the next one, or what made it end."""
+    """The cells of a time line. A reason lasts until the next reason, the end of the job, or a gap."""
     cells = []
     for n, event in enumerate(line):
         ends = next((e["at"] for e in line[n + 1 :] if e["what"] in ("reason", "over", "gap")), now)
@@ -165,7 +168,7 @@
 
 
 def queue_position_text(order: dict[str, Any] | None) -> str:
-    """Whose jobs are before one without a place."""
+    """A job's position among the jobs without a placement, and which jobs are before it; empty for None."""
     if order is None:
         return ""
     if not order["before"]:
@@ -187,7 +190,7 @@
 
 
 def money_cells(money: dict[str, Any]) -> list[list[str]]:
-    """By kind of machine, by team and class, and what was for nobody."""
+    """Costs by machine type, by team and class, and of unused capacity."""
     total = money["spent"] or 1.0
     parts = [(f"{m['type']}, {m['kind']}", m["spent"]) for m in money["by_machine"]]
     parts += [(f"{u['team']}: {u['class']}", u["spent"]) for u in money["by_use"]]
@@ -204,7 +207,7 @@
 
 
 def headline(overview: dict[str, Any]) -> str:
-    """One line that says how it goes."""
+    """A one-line summary: jobs, machines, unverified machines and zones that are cut off."""
     states = overview.get("states", {})
     waiting = sum(wait["jobs"] for wait in overview.get("waits", []))
     parts = [f"{sum(states.values())} jobs, {waiting} of them wait for something"]
--- a/pepperlatch/console/history.py
+++ b/pepperlatch/console/history.py
@@ -1,8 +1,8 @@
-"""Time lines of jobs, packed: what happened when, in bounded memory. No I/O, no clock.
+"""Time lines of jobs in a compact encoding and bounded memory: what happened to each job, and when. No I/O, no clock.
 
-A line is a row of records of 15 bytes. What is alike and close together is one record with a count; the middle of a
-long line is squeezed; over the budget the lines of jobs that ended longest ago go first. Each of these leaves a
-record that says so: a line may have gaps, and never hides one.
+A time line is a sequence of 15-byte records. Equal events that are close together are merged into one record with a
+count. The middle of a long time line is replaced by one record with the number dropped. Over the memory budget, the
+time lines of jobs that ended longest ago are dropped and counted. A time line may have gaps, but always shows them.
 """
 
 import struct
@@ -16,26 +16,28 @@
 
 from pepperlatch.constants import console as c
 
-_RECORD = struct.Struct("<IBHII")  # tenths of a second since `base`, what, count, text, subject
+_RECORD = struct.Struct("<IBHII")  # tenths of a second since `base`, kind, count, text, subject
 _Fields = tuple[int, int, int, int, int]
-SEVERAL_SUBJECTS = 0xFFFFFFFF  # a subject that differs among the records merged
+SEVERAL_SUBJECTS = 0xFFFFFFFF  # subject index of a merged record with different subjects
 VERSION = 1
 
 
 class EventKind(IntEnum):
+    """The kind of a record. The values are stored; the names in lower case are shown to users."""
+
     ACCEPTED = 1
-    WAITS = 2  # for jobs that it needs
+    WAITS = 2  # for other jobs that this one needs
     READY = 3
-    REASON = 4
-    STARTED = 5
-    ENDED = 6
-    OVER = 7
-    GAP = 8  # nothing is known of this span: another controller led
-    SQUEEZED = 9  # so many records were dropped
+    REASON = 4  # the stated reason changed
+    STARTED = 5  # a task
+    ENDED = 6  # a task
+    OVER = 7  # the job is finished or cancelled
+    GAP = 8  # nothing is known of this period: another controller led
+    SQUEEZED = 9  # `count` records were dropped here
 
 
 class Event(msgspec.Struct, omit_defaults=True):
-    """One record, read. `at`: time of day, s. `subject`: a machine, or empty where several are meant."""
+    """One decoded record. `at`: time of day, s. `subject`: a machine; empty for several machines or none."""
 
     at: float
     what: str
@@ -45,18 +47,19 @@
 
 
 class UnreadableHistory(ValueError):
-    """A saved history that cannot be read."""
+    """A saved history is damaged or of another version."""
 
 
 @dataclass(slots=True)
 class StringTable:
-    """Texts that come again and again, each kept once."""
+    """Strings that records refer to by index, each stored once. Index 0 is the empty string."""
 
     texts: list[str] = field(default_factory=lambda: [""])
-    bytes: int = 0
+    bytes: int = 0  # approximate memory use
     _index: dict[str, int] = field(default_factory=lambda: {"": 0})
 
     def intern(self, text: str) -> int:
+        """The string's index; 0 if the table is full (NAMES_MOST)."""
         index = self._index.get(text)
         if index is None:
             if len(self.texts) >= c.NAMES_MOST:
@@ -71,7 +74,7 @@
 
 
 class SavedHistory(msgspec.Struct, array_like=True):
-    """What outlives a leader, before it is compressed."""
+    """The saved form of a history, before compression. `at`: when it was saved; `base`: see History; both in s."""
 
     version: int
     at: float
@@ -83,17 +86,19 @@
 
 @dataclass(slots=True)
 class History:
-    base: float  # time of day, s; records are counted from here
+    """The time lines of all jobs that this leader knows, within `max_bytes` of memory."""
+
+    base: float  # time of day, s; times in records are relative to it
     max_bytes: int = c.HISTORY_BYTES
     texts: StringTable = field(default_factory=StringTable)
     subjects: StringTable = field(default_factory=StringTable)
-    dropped: int = 0  # lines given up for lack of room
+    dropped: int = 0  # time lines dropped to stay within max_bytes
     _timelines: dict[str, bytearray] = field(default_factory=dict)
-    _ended: OrderedDict[str, None] = field(default_factory=OrderedDict)
+    _ended: OrderedDict[str, None] = field(default_factory=OrderedDict)  # finished jobs, oldest first
     _records: int = 0
 
     def size(self) -> int:
-        """What all of it takes, about."""
+        """Approximate memory use, in bytes."""
         return (
             self._records * _RECORD.size + len(self._timelines) * c.LINE_BYTES + self.texts.bytes + self.subjects.bytes
         )  # fmt: skip
@@ -105,9 +110,14 @@
         return job_id in self._timelines
 
     def has(self, job_id: str, what: EventKind) -> bool:
+        """Whether the job's time line holds a record of that kind."""
         return any(kind == what for _, kind, _, _, _ in _RECORD.iter_unpack(self._timelines.get(job_id, b"")))
 
     def add(self, job_id: str, what: EventKind, at: float, text: str = "", subject: str = "", count: int = 1) -> None:
+        """Append an event, or merge it into the last record. May drop records or time lines to stay within bounds.
+
+        `at`: time of day, s.
+        """
         line = self._timelines.get(job_id)
         if line is None:
             line = self._timelines[job_id] = bytearray()
@@ -126,10 +136,14 @@
     def _merge_into_last(
         self, line: bytearray, tenths: int, what: EventKind, text_index: int, subject_index: int
     ) -> bool:
-        """Whether it is one more of what the last record says."""
+        """Merge the event into the last record if possible; False if it needs a record of its own.
+
+        Starts and ends with the same text within MERGE_S are counted together. A reason at the same time as the
+        previous reason replaces it.
+        """
         last = len(line) - _RECORD.size
         at, kind, count, text, subject = _RECORD.unpack_from(line, last)
-        if kind == what == EventKind.REASON and at == tenths:  # nobody waited for that one
+        if kind == what == EventKind.REASON and at == tenths:  # the earlier reason lasted no time
             _RECORD.pack_into(line, last, at, kind, 1, text_index, subject_index)
             return True
         alike = kind == what and text == text_index and what in (EventKind.STARTED, EventKind.ENDED)
@@ -141,7 +155,7 @@
         return True
 
     def _drop_middle(self, line: bytearray) -> None:
-        """The beginning and the end stay; what was between is one record with its count."""
+        """Replace the middle of a long time line by one record with the number of dropped records."""
         size = _RECORD.size
         head, tail = c.LINE_HEAD * size, len(line) - c.LINE_TAIL * size
         dropped, first = 0, 0
@@ -153,6 +167,7 @@
         self._records -= (tail - head) // size - 1
 
     def _enforce_budget(self) -> None:
+        """Drop time lines until the size is within `max_bytes`: finished jobs first, then the oldest, but for one."""
         while self.size() > self.max_bytes and self._ended:
             self._drop_timeline(next(iter(self._ended)))
         while self.size() > self.max_bytes and len(self._timelines) > 1:
@@ -164,7 +179,7 @@
         self.dropped += 1
 
     def timeline(self, job_id: str) -> list[Event]:
-        """All that is kept of a job, oldest first."""
+        """The job's time line, oldest event first; empty if none is kept."""
         return [self._decode_record(fields) for fields in _RECORD.iter_unpack(self._timelines.get(job_id, b""))]
 
     def _decode_record(self, fields: _Fields) -> Event:
@@ -174,7 +189,7 @@
             round(self.base + tenths / 10, 1), EventKind(kind).name.lower(), self.texts.get(text), count, subject_name
         )
 
-    # --- outliving a leader -----------------------------------------------------------------------
+    # --- saving and restoring ---------------------------------------------------------------------
 
     def pack(self, at: float, max_bytes: int, first: Iterable[str]) -> bytes:
         """Encodes and compresses as many time lines as fit `max_bytes`.
@@ -192,7 +207,7 @@
             count = min(count - 1, count * max_bytes // len(packed))
 
     def _encode(self, at: float, job_ids: list[str]) -> bytes:
-        """Only the names that these lines use, renumbered."""
+        """The time lines of these jobs, compressed, with only the strings that they use, renumbered."""
         texts, subjects = StringTable(), StringTable()
         lines = {}
         for job_id in job_ids:
@@ -205,10 +220,10 @@
         return zlib.compress(msgspec.msgpack.encode(saved), 6)
 
     def merge_saved(self, packed: bytes | None, started_at: float) -> int:
-        """Put what an earlier leader saved before what this one wrote since `started_at`; how many lines.
+        """Insert the time lines that an earlier leader saved before this leader's own; returns how many there were.
 
-        Where it saved nothing, the span before `started_at` is a gap. Raises Foreign if it cannot be read; nothing is
-        changed then.
+        `started_at`: time of day, s, since which this leader records. The period before it that the saved time lines
+        don't cover is marked as a gap. Raises UnreadableHistory if `packed` can't be read; nothing is changed then.
         """
         saved = _decompress(packed) if packed is not None else None
         earlier = {job_id: _validated_records(job_id, line) for job_id, line in saved.lines.items()} if saved else {}
@@ -226,6 +241,7 @@
         return len(earlier)
 
     def _add_earlier(self, job_id: str, records: list[_Fields], saved: SavedHistory) -> None:
+        """Add the records of a saved time line, with indexes translated to this history's strings."""
         for tenths, kind, count, text, subject in records:
             subject_name = "" if subject == SEVERAL_SUBJECTS else _string_at(saved.subjects, subject)
             self.add(
@@ -238,7 +254,7 @@
             )
 
     def _append_own(self, job_id: str, records: list[_Fields], started_at: float) -> None:
-        """What the earlier line says of how it began is not said twice."""
+        """Append this leader's own records, without a second `accepted` or `ready` record."""
         line = self._timelines.setdefault(job_id, bytearray())
         known = {kind for _, kind, _, _, _ in _RECORD.iter_unpack(line)}
         for fields in records:
@@ -254,6 +270,7 @@
         self.add(job_id, EventKind.GAP, since, f"nothing is known of {max(0.0, until - since):.0f} s: another led")
 
     def unfinished(self) -> list[str]:
+        """Ids of the jobs whose time line has no end yet."""
         return [job_id for job_id in self._timelines if job_id not in self._ended]
 
 
@@ -262,6 +279,7 @@
 
 
 def _decompress(packed: bytes) -> SavedHistory:
+    """Raises UnreadableHistory. Decompresses at most HISTORY_BYTES."""
     try:
         plain = zlib.decompressobj().decompress(packed, c.HISTORY_BYTES)
         saved: SavedHistory = msgspec.msgpack.decode(plain, type=SavedHistory)
@@ -273,6 +291,7 @@
 
 
 def _validated_records(job_id: str, line: bytes) -> list[_Fields]:
+    """The records of one saved time line. Raises UnreadableHistory for damaged records and unknown kinds."""
     known = {what.value for what in EventKind}
     try:
         records = list(_RECORD.iter_unpack(line))
--- a/pepperlatch/console/metrics.py
+++ b/pepperlatch/console/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics in the usual exposition format, on the usual library; imported when the first scrape comes.
+"""Metrics in the Prometheus text format, through prometheus_client. Imported at the first scrape.
 
-Labels are kinds, teams, types and zones of the deployment: nothing that grows with jobs or machines.
+Labels are reasons, causes, teams, machine types and zones: nothing that grows with the number of jobs or machines.
 """
 
 import math
@@ -24,7 +24,7 @@
 
 
 class Collector:
-    """Reads everything at the moment of the scrape; a node that does not lead has only what is its own."""
+    """Reads all values at the time of the scrape. A follower exposes only the values of its own node."""
 
     def __init__(self, core: ExtensionContext, leader_and_recorder: LeaderAndRecorder) -> None:
         self._core = core
@@ -98,7 +98,7 @@
 
 
 def render_metrics(core: ExtensionContext, leader_and_recorder: LeaderAndRecorder) -> tuple[str, bytes]:
-    """Content type and text of one scrape."""
+    """Content type and body of the answer to one scrape."""
     registry = CollectorRegistry()
     registry.register(Collector(core, leader_and_recorder))
     return CONTENT_TYPE, generate_latest(registry)
--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -1,7 +1,8 @@
-"""What a leader shows: rows of jobs under one revision, machines, teams, money. Both faces are made from this.
+"""The data that a leader shows: rows of jobs with a revision number, machines, teams and costs.
 
-Everything is read in one go from the leader's own picture, without a pause in between, so each answer is consistent.
-Rows are made anew only where something was told of a job; without a viewer there are none.
+The terminal console and the report are both built from these answers. Each answer is read from the leader's state
+without yielding to other tasks, so it is consistent. A job's row is rebuilt only after an event of that job; without a
+viewer no rows are kept.
 """
 
 from bisect import bisect_right
@@ -29,31 +30,37 @@
 
 
 class ChangesExpired(Exception):
-    """Changes since then are not known any more: a snapshot has to be taken."""
+    """The changes since the requested revision are no longer known: the client must take a new snapshot."""
 
 
 class ViewModel:
-    """Rows of one term. The revision counts what viewers could have noticed; rows keep theirs in `_change_log`."""
+    """The job rows of one term of leadership.
+
+    `revision` grows with each refresh that changed a visible row; `_change_log` holds the revision of each change.
+    """
 
     def __init__(self, leader: "Leader", recorder: Recorder) -> None:
         self.leader = leader
         self.recorder = recorder
         self.revision = 0
-        self.oldest_revision = 0  # changes up to here are not known any more
+        self.oldest_revision = 0  # changes up to and including this revision are no longer known
         self.rows: dict[str, JobRow] = {}
-        self._changed: dict[str, int] = {}  # the revision in which a row last changed, also of rows that are gone
-        self._change_log: list[tuple[int, str]] = []  # in order; an entry whose row changed again later counts no more
-        self._published_at: dict[str, float] = {}
-        self._ended_at: dict[str, float] = {}  # jobs that are over, oldest first
-        self._totals: tuple[int, dict[str, Any]] = (-1, {})
-        self._deferred_count = 0  # rows of which only the text has changed, and too lately to show
-        self._reason_texts: dict[int, tuple[Reason, str]] = {}
-        self._last_result: tuple[int, Query, list[JobRow]] | None = None  # of the last query, for its next page
+        self._changed: dict[str, int] = {}  # revision of each row's last change, also of removed rows
+        self._change_log: list[tuple[int, str]] = []  # ascending; entries of rows that changed again are stale
+        self._published_at: dict[str, float] = {}  # steady clock, s
+        self._ended_at: dict[str, float] = {}  # finished jobs, oldest first; steady clock, s
+        self._totals: tuple[int, dict[str, Any]] = (-1, {})  # revision and the totals computed at it
+        self._deferred_count = 0  # rows with a new text only, shown less than TEXT_S ago
+        self._reason_texts: dict[int, tuple[Reason, str]] = {}  # by id() of the reason
+        self._last_result: tuple[int, Query, list[JobRow]] | None = None  # revision, query and rows, for the next page
 
-    # --- making rows ------------------------------------------------------------------------------
+    # --- building rows ----------------------------------------------------------------------------
 
     def refresh(self, max_rows: int = c.ROWS_AT_ONCE) -> None:
-        """Take in what has changed; the first time, all there is. A part of it, where that is much: see `pending`."""
+        """Rebuild the rows of at most `max_rows` changed jobs; the first time, all unfinished jobs count as changed.
+
+        `pending` tells how many are left for later calls.
+        """
         now, wall_offset = self.leader.clock(), self.leader.wall() - self.leader.clock()
         dirty = self.recorder.dirty
         if dirty is None:
@@ -81,11 +88,11 @@
             self._compact()
 
     def pending(self) -> int:
-        """Jobs that something was told of and that are not taken in yet, but for mere numbers in a text."""
+        """Number of changed jobs whose rows are not rebuilt yet, without those deferred because only a text changed."""
         return max(0, len(self.recorder.dirty or ()) - self._deferred_count)
 
     def discard_rows(self) -> None:
-        """Nobody looks: keep no rows. Whoever comes back takes a snapshot."""
+        """Drop all rows while there is no viewer. A viewer that returns has to take a new snapshot."""
         self.oldest_revision = self.revision = self.revision + 1
         self.recorder.dirty = None
         self._last_result = None
@@ -110,7 +117,7 @@
             self._change_log.append((revision, job_id))
 
     def _compact(self) -> None:
-        """Forget entries that count no more, and rows that went long ago."""
+        """Drop stale entries of the change log, and all but the last PAGE_MOST entries of removed rows."""
         live = [(revision, job_id) for revision, job_id in self._change_log if self._changed.get(job_id) == revision]
         gone = [entry for entry in live if entry[1] not in self.rows]
         for revision, job_id in gone[: -c.PAGE_MOST]:
@@ -119,7 +126,10 @@
         self._change_log = [entry for entry in live if entry[1] in self._changed]
 
     def _build_row(self, job_id: str, previous: JobRow | None, wall_offset: float) -> JobRow | None:
-        """`wall_offset`: what makes a moment of the steady clock a time of day."""
+        """The job's current row, or None if there is nothing to show.
+
+        `wall_offset`: seconds to add to the steady clock to get the time of day.
+        """
         job = self.leader.cluster.jobs.get(job_id)
         entry = self.leader.replica.jobs.get(job_id)
         if entry is None:
@@ -131,7 +141,7 @@
         return row_from_record(job_id, entry, self.leader.replica, wall_offset + self.leader.clock(), previous)
 
     def _reason_text(self, reason: Reason) -> str:
-        """Many jobs share one reason: its words are made once."""
+        """The reason's text, cached because many jobs share one reason object."""
         known = self._reason_texts.get(id(reason))
         if known is None or known[0] is not reason:
             if len(self._reason_texts) >= c.PAGE_MOST:
@@ -142,9 +152,10 @@
     # --- answers ----------------------------------------------------------------------------------
 
     def page(self, query: Query) -> dict[str, Any]:
-        """One page; `next` asks for the one after it, of the same moment unless somebody else asks in between.
+        """One page of rows; `next` is the cursor of the following page.
 
-        Changes since the first page's revision make the pages one moment in any case.
+        Following pages come from the same result unless another query is answered in between. In any case a client gets
+        a consistent copy by applying the changes since the first page's revision.
         """
         wanted = msgspec.structs.replace(query, after="")
         cached = self._last_result
@@ -157,9 +168,9 @@
         }  # fmt: skip
 
     def changes(self, query: Query, since: int) -> dict[str, Any]:
-        """Rows that changed after a revision, oldest change first, up to about `query.max_rows` bytes.
+        """Rows that changed after revision `since`, oldest change first, up to about `query.most` bytes.
 
-        `upto` is the revision to ask with the next time. Raises Gone if what went since is not known any more.
+        `upto` in the answer is the `since` of the next request. Raises ChangesExpired if `since` is too old or unknown.
         """
         if since < self.oldest_revision or since > self.revision:
             raise ChangesExpired
@@ -169,7 +180,7 @@
         for revision, job_id in self._change_log[bisect_right(self._change_log, (since, "\uffff")) :]:
             if self._changed.get(job_id) != revision:
                 continue
-            if size >= query.most and revision > upto:  # a revision is given whole
+            if size >= query.most and revision > upto:  # never split a revision
                 return {"jobs": to_builtins(found), "gone": gone, "upto": upto, "more": True}
             row = self.rows.get(job_id)
             if row is not None and query.matches(row):
@@ -182,12 +193,16 @@
         return {"jobs": to_builtins(found), "gone": gone, "upto": self.revision, "more": False}
 
     def totals(self) -> dict[str, Any]:
+        """Job counts by state and by reason, cached for the current revision."""
         if self._totals[0] != self.revision:
             self._totals = (self.revision, rows.totals(self.rows.values()))
         return self._totals[1]
 
     def queue_position(self, job_id: str) -> dict[str, Any] | None:
-        """Whose jobs are before a job that has no place, in the order of the last round."""
+        """Position of a job without a placement in the order of the last planning round, and the jobs before it.
+
+        None if the job was not in that round.
+        """
         demands = self.leader.planner.demands
         position = next((n for n, demand in enumerate(demands) if demand.job.spec.id == job_id), None)
         if position is None:
@@ -205,7 +220,7 @@
         }
 
     def overview(self) -> dict[str, Any]:
-        """All but the jobs themselves."""
+        """Everything but the job rows: totals, teams, machines, drains, offers, costs, recoveries, history size."""
         leader = self.leader
         cluster, planner = leader.cluster, leader.planner
         now = leader.clock()
@@ -236,7 +251,7 @@
         return {**quota.shown(name), "cpus_unseen": unseen.cpus if unseen else 0.0}
 
     def machines(self) -> list[dict[str, Any]]:
-        """Every machine with its state and why it is in it."""
+        """Every machine with its state and the reason for that state."""
         cluster, now = self.leader.cluster, self.leader.clock()
         return [
             {
@@ -250,7 +265,7 @@
 
 
 def _visibly_differs(one: JobRow, other: JobRow) -> bool:
-    """In what viewers are told at once; numbers in a text may wait a little."""
+    """Whether a field changed that viewers are shown at once. A text with new numbers alone may wait for TEXT_S."""
     return (
         one.why != other.why or one.since != other.since or one.state != other.state or one.waiting != other.waiting
         or one.running != other.running or one.done != other.done
@@ -288,9 +303,10 @@
     previous: JobRow | None = None,
     progress: JobProgress | None = None,
 ) -> JobRow | None:
-    """A job that the leader does not work on, from its record alone: it waits for others, or is over.
+    """Makes a job's row from its record: for jobs that wait for others or are finished, and all jobs on a follower.
 
-    `progress`: what a node that does not lead was told of it by the leader.
+    `wall`: time of day, s. `previous`: the job's row so far; a finished job without one gets no row.
+    `progress`: what the leader last told a follower about the job.
     """
     spec, reason = entry.record.spec, recorded_reason(replica, job_id)
     if entry.state in wire.FINAL:
@@ -321,7 +337,7 @@
 
 
 def machine_state(machine: Machine, unverified: bool) -> tuple[str, str]:
-    """In one word, and why."""
+    """The machine's state in one word, and its reason (may be empty). `unverified`: no report since the takeover."""
     if machine.status is Status.LEAVING:
         return "leaving", machine.release_reason
     if machine.status is not Status.UP:
@@ -340,7 +356,7 @@
 
 
 def machine_totals(machines: Iterable[Machine], unverified: set[str]) -> list[dict[str, Any]]:
-    """Counts by type, zone, kind and state."""
+    """Machine counts by type, zone, spot or not, and state. `unverified`: names, see `machine_state`."""
     counts = Counter(
         (m.type.name, m.zone, m.spot, machine_state(m, m.name in unverified)[0]) for m in machines
     )  # fmt: skip
--- a/pepperlatch/console/persistence.py
+++ b/pepperlatch/console/persistence.py
@@ -1,7 +1,8 @@
-"""Time lines outlive a leader in a few values of the state service, written from what nobody else needs.
+"""Saves time lines in the state service, so that the next leader can continue them. Uses only spare write budget.
 
-`c/line/SLOT/N`. Two slots are written in turn, so a leader that dies while it saves leaves the one before whole. Each
-piece names what it is a piece of; a slot with pieces of two savings is no saving.
+A save is compressed, encoded as text and cut into pieces, stored under `c/line/SLOT/N`. Two slots are written in turn,
+so a leader that dies while it saves leaves the previous save complete. Each piece names the save that it belongs to;
+a slot with pieces of two saves is ignored.
 """
 
 import base64
@@ -28,28 +29,36 @@
 
 
 class Piece(msgspec.Struct):
-    token: int
-    number: int  # of the saving, counted in its term
-    of: int  # pieces
-    text: str
+    """One stored value: a piece of a save."""
+
+    token: int  # of the term that saved it
+    number: int  # of the save, counted within its term
+    of: int  # number of pieces of the save
+    text: str  # base64
 
 
 class TimelinePersistence:
+    """Restores and saves the time lines in one term of leadership. Used by the extension while it leads."""
+
     def __init__(self, core: ExtensionContext, leader: "Leader", recorder: Recorder) -> None:
         self._core = core
         self._leader = leader
         self._recorder = recorder
         self._save_number = 0
-        self._saved_count = -1  # of `recorder.changed`
+        self._saved_count = -1  # `recorder.records_written` at the last save
         self._first_slot = 0
         limits = core.settings.params.state
         self._piece_bytes = int(limits.value_kb * 1024) - value_overhead_bytes()
         self._max_pieces = max(1, min(c.SAVE_VALUES, limits.txn_ops))
 
-    # --- taking over --------------------------------------------------------------------------------
+    # --- restoring ----------------------------------------------------------------------------------
 
     async def restore(self) -> None:
-        """What the last leader saved goes before what this one knows; whatever cannot be read is logged and left."""
+        """Insert the newest readable save before this leader's own records; saves that can't be read are logged.
+
+        Retries while the state service doesn't answer, until the term is over. Without a readable save, the time before
+        this term is marked as a gap.
+        """
         while not self._leader.term.over:
             try:
                 _, pairs = await self._core.state.read_all(PREFIX)
@@ -58,22 +67,22 @@
                 await trio.sleep(c.SAVE_POLL_S)
         else:
             return
-        found = sorted(_complete_saves(pairs), key=lambda saving: saving[0], reverse=True)
+        found = sorted(_complete_saves(pairs), key=lambda save: save[0], reverse=True)
         if found:
-            self._first_slot = 1 - found[0][1]  # the newest stays until a newer is whole
+            self._first_slot = 1 - found[0][1]  # keep the newest save until a newer one is complete
         for _, slot, packed in found:
             try:
                 count = self._recorder.history.merge_saved(packed, self._recorder.started_at)
             except UnreadableHistory as error:
-                log.info("time lines in slot %d are left: %s", slot, error)
+                log.info("saved time lines in slot %d cannot be read and are ignored: %s", slot, error)
                 continue
             self._close_ended_timelines()
-            log.info("time lines of %d jobs taken over", count)
+            log.info("restored the time lines of %d jobs saved by an earlier leader", count)
             return
         self._recorder.history.merge_saved(None, self._recorder.started_at)
 
     def _close_ended_timelines(self) -> None:
-        """What became of jobs that ended while nobody wrote their line."""
+        """Record the end of jobs that ended while no leader recorded their time line."""
         history, wall = self._recorder.history, self._core.wall()
         for job_id in history.unfinished():
             entry = self._leader.replica.jobs.get(job_id)
@@ -83,7 +92,10 @@
     # --- saving -------------------------------------------------------------------------------------
 
     async def save(self) -> None:
-        """One saving, piece by piece as the budget has room. Raises Away or Unsure; the slot is then no saving."""
+        """Write one save, piece by piece as the write budget allows; nothing if there are no new records.
+
+        Raises Away or Unsure if the state service fails; the slot then holds no complete save.
+        """
         changed = self._recorder.records_written
         if changed == self._saved_count:
             return
@@ -100,7 +112,10 @@
         self._saved_count = changed
 
     async def _write(self, key: str, piece: Piece) -> bool:
-        """Only while this leader leads, and only when nobody waits for the budget."""
+        """Write a piece once there is spare write budget, on condition that this node still leads.
+
+        False if the term is over, the service refuses the value, or the condition fails.
+        """
         while self._core.state.writes_spare() < 1:
             await trio.sleep(c.SAVE_POLL_S)
             if self._leader.term.over:
@@ -109,29 +124,33 @@
         try:
             outcome = await self._core.state.txn([leader_condition], [wire.put(key, wire.to_plain(piece))])
         except Refused as error:
-            log.info("time lines cannot be saved: %s", error)
+            log.info(
+                "state service refused a piece of the time lines, retrying with the next save: %s",
+                error,
+            )
             return False
         return outcome.applied
 
 
 def value_overhead_bytes() -> int:
-    """Bytes of a value that are not the piece's text."""
+    """Bytes of a stored value besides the piece's text: field names, numbers and quotes."""
     return core.VALUE_SLACK_BYTES + 96
 
 
 def _complete_saves(pairs: list[wire.KeyValue]) -> list[tuple[tuple[int, int], int, bytes]]:
-    """Whole savings: when they were made (token, number), their slot, and what they hold."""
+    """The complete saves: their order (token, number), slot, and content. Unreadable values are logged and skipped."""
     slots: dict[int, dict[int, Piece]] = {}
     for pair in pairs:
         slot, _, number = pair.key[len(PREFIX) :].partition("/")
         try:
             slots.setdefault(int(slot), {})[int(number)] = wire.convert(pair.value, Piece)
         except (ValueError, msgspec.ValidationError) as error:
-            log.info("%s is left: %s", pair.key, error)
+            log.info("%s is not a piece of saved time lines and is ignored: %s", pair.key, error)
     return [whole for slot, pieces in slots.items() if (whole := _assemble_save(slot, pieces)) is not None]
 
 
 def _assemble_save(slot: int, pieces: dict[int, Piece]) -> tuple[tuple[int, int], int, bytes] | None:
+    """The save in a slot, or None if pieces are missing, belong to another save, or are not base64."""
     first: Any = pieces.get(0)
     if first is None or not 1 <= first.of <= c.SAVE_VALUES:
         return None
--- a/pepperlatch/console/poller.py
+++ b/pepperlatch/console/poller.py
@@ -1,4 +1,4 @@
-"""Keeps a viewer's copy current and hands on what is to be shown. Runs under trio; the terminal may live elsewhere."""
+"""Polls the service to keep a viewer's copy current. Runs under trio; the terminal may run in another thread."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """What the viewer looks at. `view`: overview, jobs, job, machines, teams or events."""
+    """What the viewer has selected. `view`: overview, jobs, job, machines, teams or events. `job`: id for view job."""
 
     query: Query
     view: str = "overview"
@@ -23,7 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewState:
-    """One moment of the copy; nothing in it changes afterwards. `now`: time of day at the service, s."""
+    """What to display after one poll; not changed afterwards.
+
+    `now`: time of day at the service, s. `head`: general fields of the last answer. `stale`: why the data may be old,
+    or empty. `behind`: more changes follow with later polls. `detail`: the selected job, in view job.
+    """
 
     now: float
     head: dict[str, Any]
@@ -32,11 +36,11 @@
     stale: str
     behind: bool
     detail: dict[str, Any] = field(default_factory=dict)
-    listing: list[dict[str, Any]] = field(default_factory=list)  # machines or events, as wanted
+    listing: list[dict[str, Any]] = field(default_factory=list)  # machines or events, in these views
 
 
 class Poller:
-    """`on_update` is called after each try, with what is known then."""
+    """Polls every POLL_S and calls `on_update` after each poll, also after a failed one."""
 
     def __init__(self, view_copy: ViewCopy, selection: Selection, on_update: Callable[[ViewState], None]) -> None:
         self._view_copy = view_copy
@@ -46,13 +50,13 @@
         self._overview_at = float("-inf")
 
     def select(self, selection: Selection) -> None:
-        """Look at something else, at once. In the feed's own thread."""
+        """Change the selection and poll at once. Must be called in the poller's own thread."""
         self._selection = selection
         self._overview_at = float("-inf")
         self._wake.set()
 
     async def run(self) -> None:
-        """For as long as somebody looks; cancelled anywhere, it leaves nothing behind."""
+        """Poll until cancelled."""
         while True:
             self._wake = trio.Event()
             self._on_update(await self.poll_once())
@@ -60,7 +64,7 @@
                 await self._wake.wait()
 
     async def poll_once(self) -> ViewState:
-        """One try. What cannot be had stays as it was, and is said to be stale."""
+        """Poll once. If a request fails, the old data is kept and marked stale; no exception is raised."""
         view_copy, selection = self._view_copy, self._selection
         view_copy.set_query(selection.query)
         detail: dict[str, Any] = {}
--- a/pepperlatch/console/public.py
+++ b/pepperlatch/console/public.py
@@ -1,4 +1,4 @@
-"""What members may see: no settings, no machines, and names of jobs and of other teams only where that is allowed."""
+"""The members' view: no settings, no machines, and job ids and other teams' jobs only if the features allow it."""
 
 import hashlib
 import re
@@ -18,7 +18,11 @@
 
 
 class Redactor:
-    """Puts words in place of names: the same for the same name, and another set for each `key`."""
+    """Replaces job ids by pseudonyms, and removes jobs of teams that are not shown.
+
+    A job keeps its pseudonym for the life of `key`, which is random if not given. `names`: show job ids as they are.
+    `teams`: the teams shown, all if empty.
+    """
 
     def __init__(self, names: bool, teams: list[str], key: bytes | None = None) -> None:
         self._show_names = names
@@ -29,11 +33,12 @@
         digest = hashlib.blake2b(job_id.encode("utf-8"), key=self._key).hexdigest()
         return f"job-{digest[: c.WORD_DIGITS]}"
 
-    def redact_text(self, query_string: str) -> str:
-        return query_string if self._show_names else _JOB_ID.sub(lambda found: self.pseudonym(found[0]), query_string)
+    def redact_text(self, text: str) -> str:
+        """The text with a pseudonym for each job id in it, unless names are shown."""
+        return text if self._show_names else _JOB_ID.sub(lambda found: self.pseudonym(found[0]), text)
 
     def redact_row(self, row: dict[str, Any]) -> dict[str, Any] | None:
-        """A job as members see it; None if it is of a team that is not shown."""
+        """The row as members see it, or None if its team is not shown."""
         if self._teams and row["team"] not in self._teams:
             return None
         if self._show_names:
@@ -45,19 +50,20 @@
 
 
 class MembersView:
-    """Answers the members' listener from the same views as the operators'."""
+    """Answers requests on the members' listener with redacted answers of the operators' `ViewService`."""
 
     def __init__(self, view_service: ViewService, config: features.Public) -> None:
         self._view_service = view_service
         self._redactor = Redactor(config.names, config.teams)
-        self._cursors: dict[str, str] = {}  # what asks the leader for a page names a job, so members get a word for it
+        self._cursors: dict[str, str] = {}  # by pseudonym; a cursor contains a job id
 
     async def handle(self, request: Request) -> Response:
+        """Answer overview, jobs and changes; other paths get 404, a text search 400, an expired cursor 410."""
         path, _, query_string = request.path.partition("?")
         if path not in _MEMBER_PATHS or request.method != "GET":
             return Response(404, {"error": "no such path"})
         fields = dict(parse_qsl(query_string))
-        if "text" in fields:  # names could be guessed by asking for them
+        if "text" in fields:  # a text search would reveal whether a name exists
             return Response(400, {"error": "text: not for members"})
         if "after" in fields:
             if fields["after"] not in self._cursors:
@@ -80,6 +86,7 @@
         return {**shown, "next": self._cursor_pseudonym(answer["next"])} if "next" in answer else shown
 
     def _cursor_pseudonym(self, after: str) -> str:
+        """A word that stands for the cursor in later requests; the last PAGES_KEPT are known."""
         if not after:
             return ""
         pseudonym = self._redactor.pseudonym(after)
--- a/pepperlatch/console/recorder.py
+++ b/pepperlatch/console/recorder.py
@@ -1,4 +1,7 @@
-"""Listens to a term: writes the time lines, the accounts and the events, and marks which rows have changed."""
+"""Receives a leader's events during one term.
+
+It records time lines, costs, recoveries and machine events, and marks the jobs whose rows must be rebuilt.
+"""
 
 from collections import deque
 from collections.abc import Callable
@@ -15,7 +18,7 @@
 
 
 class ClusterEvent(msgspec.Struct, omit_defaults=True):
-    """Of a machine or of the whole service. `at`: time of day, s."""
+    """An event of a machine, or of the whole service if `machine` is empty. `at`: time of day, s."""
 
     at: float
     what: str
@@ -24,26 +27,30 @@
 
 
 class Recorder:
-    """All methods of `policy.events.Listener`, told in the owner. Quick: each costs some microseconds."""
+    """Implements `policy.events.Listener`. Called by the owner task; each method takes some microseconds."""
 
     def __init__(
         self, clock: Clock, wall: Clock, accepted_at: Callable[[str], float],
         on_job_over: Callable[[str, list[Event]], None] | None = None,
     ) -> None:  # fmt: skip
-        """`on_job_over` is handed the line of each job that ends."""
+        """`clock` and `wall`: steady clock and time of day, s. `accepted_at`: a job's time of acceptance, time of day.
+
+        `on_job_over` is called with the id and the time line of each job that ends.
+        """
         now = clock()
         self._clock, self._wall = clock, wall
         self._accepted_at = accepted_at
         self._on_job_over = on_job_over
-        self.started_at = wall()  # time of day
+        self.started_at = wall()  # time of day, s
         self.history = History(float(int(self.started_at - c.BEFORE_S)))
         self.costs = CostAccounting(now, now)
         self.recoveries = Recoveries()
         self.events: deque[ClusterEvent] = deque(maxlen=c.EVENTS_KEPT)
-        self.dirty: set[str] | None = None  # rows to be made anew; None while nobody looks
-        self.records_written = 0  # records written; tells whether there is something new to save
+        self.dirty: set[str] | None = None  # jobs whose rows must be rebuilt; None without viewers
+        self.records_written = 0  # tells whether there is something new to save
 
     def _time_of_day(self, now: float) -> float:
+        """The time of day, s, at `now` of the steady clock."""
         return self._wall() + now - self._clock()
 
     def _record(self, job_id: str, what: EventKind, now: float, text: str = "", subject: str = "") -> None:
@@ -52,7 +59,7 @@
         if self.dirty is not None:
             self.dirty.add(job_id)
 
-    # --- the listener -----------------------------------------------------------------------------
+    # --- methods of the listener ------------------------------------------------------------------
 
     def explained(self, job: Job, now: float) -> None:
         self._record(job.spec.id, EventKind.REASON, now, job.reason.text())
@@ -82,7 +89,7 @@
         if job_id not in self.history:
             self.history.add(job_id, EventKind.ACCEPTED, self._accepted_at(job_id))
         stage = EventKind.WAITS if what == "waits" else EventKind.READY
-        if not self.history.has(job_id, stage):  # a new leader hears of it once more
+        if not self.history.has(job_id, stage):  # a new leader gets the event again
             self._record(job_id, stage, now)
         elif self.dirty is not None:
             self.dirty.add(job_id)
--- a/pepperlatch/console/report.py
+++ b/pepperlatch/console/report.py
@@ -1,4 +1,4 @@
-"""The page that anyone can open: one file, no network, everything in it escaped. From the same model as the console."""
+"""The HTML report: one self-contained file without network access, everything escaped. Same data as the console."""
 
 import base64
 import hashlib
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Content:
-    """All that the page shows, already what its reader may see."""
+    """The report's data, already reduced to what its reader may see. `left_out`: number of jobs not in `rows`."""
 
     head: dict[str, Any]
     rows: list[JobRow]
@@ -36,7 +36,10 @@
 
 
 async def gather(view_copy: ViewCopy, lines: int = c.REPORT_LINES) -> Content:
-    """Ask for everything once. Raises Silent or Refused if nobody answers for the jobs; the rest may be missing."""
+    """Fetch all data once, with the time lines of the first `lines` waiting jobs.
+
+    Events and time lines are left out if the data is stale. Raises NoNodeAnswered or ViewRefused.
+    """
     await view_copy.load_complete(c.SEARCH_ROWS + 1)
     rows = sorted(view_copy.rows.values(), key=formatting.urgency_key)
     content = Content(dict(view_copy.head), rows[: c.SEARCH_ROWS], {}, view_copy.stale_reason())
@@ -52,23 +55,23 @@
 
 
 def for_members(content: Content, redactor: Redactor) -> Content:
-    """No machines, teams, money, events or time lines; names as `redactor` allows."""
+    """The content reduced for members: no machines, teams, costs, events or time lines; rows as `redactor` allows."""
     shown = redactor.redact_rows([msgspec.to_builtins(row) for row in content.rows])
     overview = {name: content.overview[name] for name in ("states", "waits") if name in content.overview}
     return Content(content.head, msgspec.convert(shown, list[JobRow]), overview, content.stale, content.left_out)
 
 
-# --- charts: plain figures for the template, which draws them as SVG ------------------------------
+# --- charts: numbers for the template, which draws them as SVG ------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Bar:
-    """One row of a chart; widths and marks are shares of the longest."""
+    """One bar of a chart. `share`: its length as a share of the full width, 0 to 1."""
 
     label: str
     value: str
     share: float
-    marks: tuple[tuple[str, float], ...] = ()  # what else is drawn on it: name and place
+    marks: tuple[tuple[str, float], ...] = ()  # marks on the bar: name and position, 0 to 1
 
 
 def wait_bars(groups: Sequence[ReasonGroup]) -> list[Bar]:
@@ -81,7 +84,7 @@
 
 
 def team_bars(teams: Iterable[dict[str, Any]]) -> list[Bar]:
-    """CPUs in use, with guarantee and limit marked; each bar by its own limit."""
+    """CPUs in use by team, with the guarantee as a mark; each bar is relative to the team's own limit."""
     bars = []
     for team in teams:
         limit = max(team["cpus_limit"], team["cpus"], 1e-9)
@@ -109,7 +112,10 @@
 
 
 def render(content: Content, zone: tzinfo | None, title: str = "pepperlatch") -> str:
-    """The whole page. Names of jobs, teams and classes are whatever users chose: nothing of them is markup here."""
+    """The whole page. Names of jobs, teams and classes are chosen by users, so all values are escaped.
+
+    The Content-Security-Policy allows the page's own script only, by its hash.
+    """
     script = (TEMPLATES / "search.js").read_text("utf-8")
     digest = base64.b64encode(hashlib.sha256(script.encode("utf-8")).digest()).decode("ascii")
     now = content.head.get("at") or 0.0
@@ -136,7 +142,7 @@
 
 
 def _tables(content: Content, zone: tzinfo | None, now: float) -> list[tuple[str, Sequence[str], list[list[str]]]]:
-    """Those that there is something for: title, columns, rows."""
+    """The tables that have rows: title, columns, rows."""
     overview = content.overview
     money = overview.get("money")
     found: list[tuple[str, Sequence[str], list[list[str]]]] = [
--- a/pepperlatch/console/rows.py
+++ b/pepperlatch/console/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the view, how they are asked for, and in which order. Pure: nothing here knows a cluster or a clock."""
+"""Rows of the view, and queries that filter, sort and page them. Pure functions: no cluster state, no clock."""
 
 import base64
 import binascii
@@ -18,7 +18,11 @@
 
 
 class JobRow(msgspec.Struct, omit_defaults=True, rename=_OUTER_NAMES, gc=False):
-    """One job as both faces show it. Times of day in s; `until`: about when the reason may change."""
+    """One job as the terminal and the report show it.
+
+    `at` (accepted), `since` (the reason holds), `until` (about when the reason may change) and `due`: time of day, s.
+    `tasks`, `done`, `running` and `waiting` count tasks. `why` is the reason's kind, `text` its full text.
+    """
 
     id: str
     team: str
@@ -39,7 +43,7 @@
 
 
 class BadQuery(ValueError):
-    """What is asked for cannot be given; the text names the field."""
+    """A query has an unknown field or a bad value; the text starts with the field's name. Answered with 400."""
 
 
 _CHOICES: dict[str, tuple[str, ...]] = {
@@ -65,7 +69,10 @@
 
 
 class Query(msgspec.Struct, frozen=True):
-    """Which jobs, in which order. Empty fields ask for nothing in particular."""
+    """Which jobs, in which order. Empty fields don't filter.
+
+    `page`: rows of a page; `most`: bytes of an answer of changes; `after`: cursor from an earlier page.
+    """
 
     team: str = ""
     job_class: str = ""
@@ -79,6 +86,7 @@
     after: str = ""
 
     def matches(self, row: JobRow) -> bool:
+        """Whether the row passes all filters."""
         if self.state == "unfinished":
             if row.state in FINAL_STATES:
                 return False
@@ -98,10 +106,11 @@
         return not (self.team or self.job_class or self.priority or self.why or self.text)
 
     def sort_key(self, row: JobRow) -> tuple[Any, str]:
+        """The row's sort value and its id, which makes the order total."""
         return _SORT_KEYS[self.sort](row), row.id
 
     def non_default_fields(self) -> dict[str, Any]:
-        """What differs from the default, as a query string names it."""
+        """The fields that differ from their defaults, by their names in a query string."""
         defaults = Query()
         found = {name: getattr(self, name) for name in self.__struct_fields__}
         return {
@@ -109,21 +118,23 @@
         }
 
     def request_path(self, path: str, **more: Any) -> str:
+        """The path with this query as its query string; fields in `more` override the query's."""
         pairs = {**self.non_default_fields(), **more}
         return f"{path}?{urlencode(pairs)}" if pairs else path
 
 
 def to_builtins(found: Iterable[JobRow]) -> list[Any]:
-    """As JSON takes them."""
+    """The rows as dictionaries for JSON."""
     return [msgspec.to_builtins(row) for row in found]
 
 
 def is_final(row: JobRow) -> bool:
+    """Whether the job is done or cancelled."""
     return row.state in FINAL_STATES
 
 
 def parse_query(text: str, extra_fields: Iterable[str] = ()) -> tuple[Query, dict[str, str]]:
-    """A query string; fields in `extra_fields` are handed back as they are. Raises BadQuery naming the field."""
+    """Parse a query string; fields named in `extra_fields` are returned as they are. Raises BadQuery."""
     fields: dict[str, Any] = {}
     rest: dict[str, str] = {}
     for name, value in parse_qsl(text, keep_blank_values=True):
@@ -155,12 +166,15 @@
 
 
 def select(rows: Iterable[JobRow], query: Query) -> list[JobRow]:
-    """All rows that the query asks for, in its order."""
+    """All rows that match the query, in its order."""
     return sorted(filter(query.matches, rows), key=query.sort_key)
 
 
 def page(found: list[JobRow], query: Query) -> tuple[list[JobRow], str]:
-    """One page of what was found, and what to ask the next with; "" after the last. Raises BadQuery."""
+    """One page of the selected rows, and the cursor of the next page ("" after the last).
+
+    Raises BadQuery for a cursor that can't be read or belongs to another order.
+    """
     start = 0
     if query.after:
         try:
@@ -174,6 +188,7 @@
 
 
 def _decode_cursor(text: str) -> tuple[Any, str]:
+    """The sort key of the last row before the page."""
     try:
         value, job_id = orjson.loads(base64.urlsafe_b64decode(text.encode("ascii")))
     except (ValueError, TypeError, binascii.Error):
@@ -184,7 +199,7 @@
 
 
 def totals(rows: Iterable[JobRow]) -> dict[str, Any]:
-    """How many jobs there are of what, and of those that wait how many for what, since when."""
+    """Job counts by state; for waiting jobs also by reason, with tasks and the earliest time of day, s."""
     states: dict[str, int] = {}
     waits: dict[str, list[Any]] = {}
     for row in rows:
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -1,10 +1,12 @@
-"""Answers to those who look: at the leader from its model, within its budget; elsewhere the leader's answer, passed on.
+"""Answers viewers' requests: the leader from its model within a CPU budget, a follower by forwarding to the leader.
 
-GET /console/overview                what there is, teams, machines by kind, money, recoveries
+GET /console/overview                job totals, teams, machines by kind, costs, recoveries
 GET /console/jobs?FILTERS&sort=&page=&after=
 GET /console/changes?FILTERS&token=&since=&most=
-GET /console/jobs/ID                 one job: its time line, and whose jobs are before it
+GET /console/jobs/ID                 one job: its time line and its position in the queue
 GET /console/machines, /console/events
+
+A follower that gets no answer from the leader answers jobs and overview from its own copy of the records.
 """
 
 from collections.abc import Callable, Iterator
@@ -32,16 +34,16 @@
     from pepperlatch.controller.leader import Leader
 
 BASE_PATH = "/console"
-DIRECT_FIELD = "direct"  # asked by another controller: never passed on once more
+DIRECT_FIELD = "direct"  # marks a request forwarded by another controller: it is not forwarded again
 
 
 class LeaderBusy(Exception):
-    """The leader has no time for viewers now."""
+    """The viewers' CPU budget is used up or the leader's queue is long: answered with 503 and Retry-After."""
 
 
 @dataclass(slots=True)
 class _CachedAnswer:
-    """An answer, when it was made, and as it is sent, compressed or not."""
+    """An answer, when it was made (steady clock, s), the term's token, and its encodings by compressed or not."""
 
     made_at: float
     token: int
@@ -50,7 +52,7 @@
 
 
 class ViewService:
-    """What this node shows. `cpu_time` is the processor time used so far, in s."""
+    """Answers viewers on this node. `cpu_time` returns the processor time that the process has used so far, in s."""
 
     def __init__(self, core: ExtensionContext, cpu_time: Callable[[], float]) -> None:
         self._core = core
@@ -61,17 +63,21 @@
         self._model: ViewModel | None = None
         self._refreshed_at = float("-inf")
         self._last_request_at = float("-inf")
-        self._cache: dict[str, _CachedAnswer] = {}  # answers by path
+        self._cache: dict[str, _CachedAnswer] = {}  # by path and query string
 
-    # --- the leader's own ---------------------------------------------------------------------------
+    # --- on the leader ------------------------------------------------------------------------------
 
     def start_term(self, leader: "Leader", recorder: Recorder) -> None:
+        """Start an empty model for a new term. Called by the extension."""
         self._model = ViewModel(leader, recorder)
         self._refreshed_at = float("-inf")
         self._cache.clear()
 
     async def run(self) -> None:
-        """While somebody looks, take in what is much a part at a time; without a viewer keep no rows."""
+        """While there are viewers, rebuild pending rows in batches; after IDLE_S without one, drop all rows.
+
+        Runs while the process lives. Batches stop when the budget is half used, so that answers have priority.
+        """
         while True:
             model, now = self._current_model(), self._core.clock()
             if model is None or now - self._last_request_at > c.IDLE_S:
@@ -80,20 +86,25 @@
                     self._cache.clear()
                 await trio.sleep(c.REFRESH_S)
                 continue
-            enough = self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2  # answers go first
+            enough = self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2  # half is for answers
             if model.pending() and enough and not model.leader.owner.long():
                 with self._charge_cpu(now):
                     model.refresh()
             await trio.sleep(c.ROWS_PAUSE_S)
 
     def _current_model(self) -> ViewModel | None:
+        """The model of the current term, or None if this node does not lead or is not ready."""
         model, leader = self._model, self._core.current_leader()
         if model is None or leader is None or model.leader is not leader or leader.term.over or not leader.ready:
             return None
         return model
 
     def _answer_from_model(self, model: ViewModel, path: str, query_string: str) -> "_CachedAnswer":
-        """The answer from the model; a kept one for those who ask the same at once. Raises Busy, BadQuery or Gone."""
+        """The answer from the model, or a recent cached one for the same request.
+
+        Without CPU budget, a cached answer up to AGE_MOST_S old is given, marked `busy`. Raises LeaderBusy if there is
+        none, BadQuery, ChangesExpired, or KeyError for an unknown job.
+        """
         now = self._core.clock()
         self._last_request_at = now
         key = f"{path}?{query_string}"
@@ -122,7 +133,7 @@
 
     @contextmanager
     def _charge_cpu(self, now: float) -> Iterator[None]:
-        """What it takes is taken from what viewers may use."""
+        """Takes the processor time of the block from the viewers' budget."""
         began = self._cpu_time()
         try:
             yield
@@ -130,7 +141,7 @@
             self._budget.wait_for(now, self._cpu_time() - began)
 
     def _encode(self, cached: "_CachedAnswer", gzip: bool) -> Response:
-        """Encoded once for all who ask alike."""
+        """The response; each encoding is made once per cached answer."""
         if gzip not in cached.encoded:
             with self._charge_cpu(self._core.clock()):
                 plain = orjson.dumps(cached.answer)
@@ -170,7 +181,10 @@
         return model.overview()
 
     def _job_detail(self, model: ViewModel, job_id: str) -> dict[str, Any]:
-        """What is kept of one job; its row is missing where it is over and shown no more."""
+        """One job with its time line. `job` is None if there is no row, as for a job that ended long ago.
+
+        Raises KeyError for an unknown job.
+        """
         row = model.rows.get(job_id)
         line = [msgspec.to_builtins(event) for event in model.recorder.history.timeline(job_id)]
         entry = model.leader.replica.jobs.get(job_id)
@@ -183,14 +197,14 @@
             found["order"] = model.queue_position(job_id)
         return found
 
-    # --- asked ----------------------------------------------------------------------------------------
+    # --- requests -------------------------------------------------------------------------------------
 
     async def handle(self, request: Request) -> Response:
-        """Answers at once or within `PASS_ON_S`; nothing is left behind when it is cancelled."""
+        """Answer a request, at once or within `PASS_ON_S` if it is forwarded. Safe to cancel."""
         return await self._handle(request, lambda cached: self._encode(cached, request.gzip))
 
     async def handle_unencoded(self, request: Request) -> Response:
-        """The same with the body as it is before it is written, for those who take something out of it."""
+        """Like `handle` with the body not encoded yet, for `MembersView`, which removes fields from it."""
         return await self._handle(request, lambda cached: Response(200, cached.answer))
 
     async def _handle(self, request: Request, encode: Callable[["_CachedAnswer"], Response]) -> Response:
@@ -216,7 +230,7 @@
             return Response(503, {"error": why}, {"Retry-After": str(c.BUSY_RETRY_S)})
 
     async def _forward_to_leader(self, path: str, query_string: str) -> Response:
-        """The leader's answer; if there is none, what this node knows itself, and how old that is."""
+        """The leader's answer, or if it gives none, an answer from this node's records with its age."""
         leader_and_token = self._core.watched.replica.leader
         peer = next(
             (p for p in self._core.settings.peers if leader_and_token is not None and p.node == leader_and_token[0]),
@@ -238,7 +252,10 @@
         return self._answer_from_records(path, query_string, why)
 
     def _answer_from_records(self, path: str, query_string: str, why: str) -> Response:
-        """Jobs as the records say, with what the leader last told of them."""
+        """Jobs or totals from this node's copy of the records and the progress that the leader last reported.
+
+        Other paths are answered 503. `why`: why the leader did not answer.
+        """
         core, replica = self._core, self._core.watched.replica
         if path not in (f"{BASE_PATH}/jobs", f"{BASE_PATH}/overview"):
             return Response(503, {"error": f"only the leader knows that, and {why}"}, {"Retry-After": "2"})
@@ -276,6 +293,7 @@
 
 
 def _strip_direct(query_string: str) -> tuple[str, bool]:
+    """The query string without the mark of a forwarded request, and whether it was there."""
     parts = [part for part in query_string.split("&") if part]
     rest = [part for part in parts if not part.startswith(f"{DIRECT_FIELD}=")]
     return "&".join(rest), len(rest) < len(parts)
--- a/pepperlatch/console/terminal.py
+++ b/pepperlatch/console/terminal.py
@@ -1,6 +1,6 @@
 """The console on a terminal: overview, jobs, one job's time line, machines, teams, events.
 
-The feed runs in a thread of its own; it hands over whole moments, and is told what to look at.
+The poller runs in a thread of its own: it passes complete view states to the terminal and gets the selection from it.
 """
 
 import threading
@@ -23,12 +23,12 @@
 from pepperlatch.constants import console as c
 
 PollerFactory = Callable[[Callable[[ViewState], None]], Poller]
-NARROW_BELOW_COLUMNS = 110  # columns; below that a job's row has only what is needed most
+NARROW_BELOW_COLUMNS = 110  # terminal width; narrower ones get NARROW_COLUMNS
 _VIEWS = ("overview", "jobs", "job", "machines", "teams", "events")
 
 
 def parse_filter(text: str, page: int = c.PAGE_MOST) -> Query:
-    """`team:web-services priority:urgent why:team-limit words` as a query. Raises BadQuery naming the field."""
+    """Parses a filter such as `team:web-services priority:urgent why:team-limit words`. Raises BadQuery."""
     fields: dict[str, str] = {}
     words = []
     for word in text.split():
@@ -44,7 +44,7 @@
 
 
 class Table(DataTable[Text]):
-    """Rows are replaced whole; the cursor stays with its row."""
+    """A table whose rows are all replaced at each update; the cursor stays on the row with the same first cell."""
 
     def replace_rows(self, columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
         key = self.current_key()
@@ -67,7 +67,7 @@
 
 
 class ConsoleApp(App[None]):
-    """`on_select` tells the feed what to look at; `show` takes what it sees."""
+    """The terminal application. It calls `on_select` when the selection changes, and displays what `show` is given."""
 
     CSS = """
     Screen { overflow: hidden; }
@@ -107,14 +107,14 @@
                     yield Static("", id=f"words-{view}", markup=False)
                     yield Table(id=f"table-{view}", cursor_type="row", zebra_stripes=True)
                     if view == "jobs":
-                        yield Static("", id="whole", markup=False)  # a reason is longer than a narrow column
+                        yield Static("", id="whole", markup=False)  # full reason of the row under the cursor
         yield Footer()
 
-    # --- what the viewer does ---------------------------------------------------------------------
+    # --- input ------------------------------------------------------------------------------------
 
     def action_view(self, view: str) -> None:
         self.query_one("#views", TabbedContent).active = view
-        self._table(view).focus()  # a hidden one that keeps it would bring its own view back
+        self._table(view).focus()  # a hidden table with the focus would switch back to its own view
         self._select_view(view)
 
     def action_filter(self) -> None:
@@ -157,13 +157,13 @@
         if self._last_state is not None:
             self.show(self._last_state)
 
-    # --- what is shown ----------------------------------------------------------------------------
+    # --- output -----------------------------------------------------------------------------------
 
     def _table(self, view: str) -> Table:
         return self.query_one(f"#table-{view}", Table)
 
     def show(self, view_state: ViewState) -> None:
-        """Called in the terminal's own thread."""
+        """Display a view state. Must be called in the terminal's own thread."""
         self._last_state = view_state
         self.query_one("#head", Static).update(_header_text(view_state, self._zone))
         self.query_one("#stale", Static).update(f"STALE: {view_state.stale}" if view_state.stale else "")
@@ -222,9 +222,9 @@
 
 
 class LiveConsoleApp(ConsoleApp):
-    """The console with its feed, which begins once there is something to show it on, in a thread of its own.
+    """The console with its poller, which is started in a thread of its own when the screen is mounted.
 
-    If the feed ends by a mistake, so does the console; `failed` says of what.
+    If the poller fails, the console exits and `failed` holds the exception.
     """
 
     def __init__(self, create_poller: PollerFactory, zone: tzinfo | None, selection: Selection | None = None) -> None:
@@ -245,7 +245,10 @@
             self._trio_token.run_sync_soon(self._poller.select, selection)
 
     def _on_view_state(self, view_state: ViewState) -> None:
-        """In the feed's thread. Seen: called before the screen was there, it ended the feed without a word."""
+        """Pass a view state to the terminal. Called in the poller's thread, which starts when the screen is mounted.
+
+        A call before the screen exists would end the poller silently.
+        """
         if not self._unmounted:
             self.call_from_thread(self.show, view_state)
 
@@ -263,7 +266,10 @@
 
 
 def run(create_poller: PollerFactory, zone: tzinfo | None) -> None:
-    """Until the viewer quits. `create_poller` makes the feed that calls what it is given."""
+    """Run the console until the viewer quits. `create_poller` makes a poller that calls the given function.
+
+    Raises what the poller failed with, except RuntimeError.
+    """
     app = LiveConsoleApp(create_poller, zone)
     app.run()
     if app.failed is not None and not isinstance(app.failed, RuntimeError):
--- a/pepperlatch/console/tracing.py
+++ b/pepperlatch/console/tracing.py
@@ -1,8 +1,8 @@
-"""Spans of a sample of jobs, made from their time lines when they are over; on the usual library, imported if it is on.
+"""Trace spans of a sample of jobs, made from a job's time line when the job is over. Uses the OpenTelemetry SDK.
 
-A job's trace id follows from its id, so which jobs are in the sample is the same at every node, and spans of several
-leaders would belong to one trace. Each span is one line of the log (logger `trace`), as the library writes spans; what
-ships the log ships the traces.
+A job's trace id is derived from its id, so every node samples the same jobs, and spans from several leaders belong to
+one trace. Each span is one log line (logger `pepperlatch.trace`) in the SDK's JSON form, so whatever ships the log also
+ships the traces. Imported only if tracing is on.
 """
 
 import hashlib
@@ -20,11 +20,11 @@
 from pepperlatch.console.history import Event
 
 log = logging.getLogger("pepperlatch.trace")
-_SPAN_KINDS = ("reason", "waits", "gap")  # what lasts until the next of these, or the end
+_SPAN_KINDS = ("reason", "waits", "gap")  # kinds of events that last until the next of them, or the job's end
 
 
 class _JobTraceIds(RandomIdGenerator):
-    """The next trace's id is the job's."""
+    """Derives the trace id from `job_id`, which is set before each trace."""
 
     job_id = ""
 
@@ -33,6 +33,8 @@
 
 
 class _LogExporter(SpanExporter):
+    """Writes each span to the log."""
+
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
         for span in spans:
             log.info("%s", span.to_json(indent=None))
@@ -40,10 +42,10 @@
 
 
 class JobTracer:
-    """`share`: of the jobs, from 0 to 1. Nothing is kept between two jobs."""
+    """Exports the traces of a share of all jobs, from 0 to 1. Keeps nothing between two jobs."""
 
     def __init__(self, node: str, share: float) -> None:
-        log.setLevel(logging.INFO)  # who switches it on wants it at any LOG_LEVEL
+        log.setLevel(logging.INFO)  # traces are written at any LOG_LEVEL
         self._ids = _JobTraceIds()
         resource = Resource({"service.name": "pepperlatch", "service.instance.id": node})
         provider = TracerProvider(
@@ -53,7 +55,10 @@
         self._tracer = provider.get_tracer("pepperlatch")
 
     def export_job(self, job_id: str, line: Sequence[Event]) -> None:
-        """The job's line is whole: a span for the job, one for each reason, and events for starts and ends."""
+        """Export the finished job's spans: one for the job, one for each reason, wait and gap, the rest as events.
+
+        Called by the recorder when the job is over.
+        """
         if not line:
             return
         self._ids.job_id = job_id
--- a/pepperlatch/console/view_copy.py
+++ b/pepperlatch/console/view_copy.py
@@ -1,7 +1,6 @@
-"""A viewer's copy of the view: a snapshot, then what has changed since.
+"""A client-side copy of the view: a snapshot, kept current by the changes since.
 
-It survives a change of leader, and says how old it is. No terminal and no page here: the console and the report both
-look at a `ViewCopy`.
+It survives a change of leader and knows how old it is. Both the terminal console and the report read a `ViewCopy`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -19,11 +18,11 @@
 
 
 class NoNodeAnswered(Exception):
-    """Nobody answers in time; the text says what came last."""
+    """No node answered in time; the text is the last error."""
 
 
 class ViewRefused(Exception):
-    """The service answers, and will not show that; the text says why."""
+    """The service answered with an error, or with rows that this version can't read; the text says why."""
 
 
 _HEAD_FIELDS = ("node", "version", "leader", "token", "revision", "at", "age_s")
@@ -31,9 +30,9 @@
 
 @dataclass(slots=True)
 class ViewCopy:
-    """`ask(method, path)` tries one node after the other; it raises Silent if none answers in time.
+    """`ask(method, path)` tries one node after another and returns status and body; raises NoNodeAnswered.
 
-    After every call the copy is whole: cancelled or failed in the middle, it is as it was before.
+    A call that fails or is cancelled leaves the copy as it was.
     """
 
     ask: AskFunction
@@ -41,28 +40,28 @@
     head: dict[str, Any] = field(default_factory=dict)
     rows: dict[str, JobRow] = field(default_factory=dict)
     overview: dict[str, Any] = field(default_factory=dict)
-    behind: bool = False  # more has changed than fits one answer
-    why_stale: str = ""  # nobody answers, or only a node that does not lead
-    answered_at: float = float("-inf")  # steady clock
-    _since_revision: int = -1  # revision; -1: a snapshot is wanted
+    behind: bool = False  # more has changed than fits in one answer
+    why_stale: str = ""  # no node answers, or only a follower from its records
+    answered_at: float = float("-inf")  # steady clock, s
+    _since_revision: int = -1  # -1: a snapshot is needed
 
     async def load_complete(self, max_jobs: int = 1_000_000) -> None:
-        """A snapshot once the leader has taken in all that it was told of: it makes few rows at once.
+        """Wait until the leader has built all rows, which it does in batches, then take a snapshot.
 
-        Raises as `load_snapshot`.
+        Raises the same errors as `load_snapshot`.
         """
         while True:
             first = await self._get(self.query.request_path(f"{BASE_PATH}/jobs", page=1))
             if not first.get("pending"):
                 await self.load_snapshot(max_jobs)
-                if self.head["token"] == first["token"]:  # else another leader begins anew
+                if self.head["token"] == first["token"]:  # otherwise a new leader has to build its rows
                     return
             await trio.sleep(c.POLL_S / 2)
 
     async def load_snapshot(self, max_jobs: int = 1_000_000) -> None:
-        """Take a snapshot of up to so many jobs. What its leader has not taken in yet comes with the changes.
+        """Take a snapshot of up to about `max_jobs` jobs. Rows that the leader has not built yet come as changes later.
 
-        Raises Silent or Refused.
+        Raises NoNodeAnswered, also if the leader changes during SNAPSHOT_TRIES snapshots, or ViewRefused.
         """
         for _ in range(c.SNAPSHOT_TRIES):
             pages = await self._load_pages(max_jobs)
@@ -74,9 +73,10 @@
         raise NoNodeAnswered("the leader changes again and again while its jobs are read")
 
     async def _load_pages(self, max_jobs: int) -> tuple[dict[str, Any], dict[str, JobRow]] | None:
-        """The first page's head and all rows; None if another leader, or the records, answered in between.
+        """The first page's answer and all rows; None if another leader, or a follower's records, answered in between.
 
-        Seen: a page from the records and the next from a leader that had few rows yet were taken for all there is.
+        Pages from different sources must not be combined: a page from records followed by one from a new leader with
+        few rows yet looked like the whole list.
         """
         found: dict[str, JobRow] = {}
         first: dict[str, Any] = {}
@@ -92,7 +92,10 @@
                 return first, found
 
     async def apply_changes(self) -> None:
-        """Take in what has changed; a new snapshot where that cannot be told. Raises Silent or Refused."""
+        """Apply the changes since the last call; take a new snapshot if the service no longer knows them (410).
+
+        After STALE_S without an answer, the next call takes a snapshot. Raises NoNodeAnswered or ViewRefused.
+        """
         if self._since_revision < 0:
             await self.load_snapshot()
             return
@@ -100,7 +103,7 @@
         try:
             status, answer = await self.ask("GET", path)
         except NoNodeAnswered:
-            if trio.current_time() - self.answered_at > c.STALE_S:  # by now, records may be all there is
+            if trio.current_time() - self.answered_at > c.STALE_S:  # records may be the only source left
                 self._since_revision = -1
             raise
         if status == 410:
@@ -116,25 +119,25 @@
         self._record_answer(answer)
 
     def set_query(self, query: Query) -> None:
-        """Other jobs from the next step on."""
+        """Select other jobs; a different query makes the next `apply_changes` take a snapshot."""
         if query != self.query:
             self.query, self._since_revision = query, -1
 
     async def load_overview(self) -> None:
-        """Ask for all but the jobs. Raises Silent or Refused."""
+        """Fetch everything but the jobs. Raises NoNodeAnswered or ViewRefused."""
         self.overview = await self._get(f"{BASE_PATH}/overview")
 
     async def fetch_job(self, job_id: str) -> dict[str, Any]:
-        """One job with its time line. Raises Silent or Refused."""
+        """One job with its time line. Raises NoNodeAnswered or ViewRefused."""
         return await self._get(f"{BASE_PATH}/jobs/{job_id}")
 
     async def fetch_list(self, name: str) -> list[dict[str, Any]]:
-        """`machines` or `events`. Raises Silent or Refused."""
+        """The list `machines` or `events`. Raises NoNodeAnswered or ViewRefused."""
         found: list[dict[str, Any]] = (await self._get(f"{BASE_PATH}/{name}"))[name]
         return found
 
     def stale_reason(self) -> str:
-        """Why what is shown may be old; empty if it is not."""
+        """Why the copy may be out of date; empty if it is current."""
         if self.why_stale:
             return self.why_stale
         if trio.current_time() - self.answered_at > c.STALE_S:
@@ -160,7 +163,7 @@
 
 
 def _parse_rows(found: list[Any]) -> list[JobRow]:
-    """Raises Refused if a later version shows what this one cannot read."""
+    """Raises ViewRefused if a later version of the service sends rows that this version can't read."""
     try:
         return msgspec.convert(found, list[JobRow])
     except msgspec.ValidationError as error:
