--- a/tests/console/helpers.py
+++ b/tests/console/helpers.py
@@ -1,4 +1,4 @@
-"""What the stories and measurements of the view share."""
+"""Helpers shared by the tests and measurements of the console."""
 
 from typing import Any
 
@@ -15,17 +15,17 @@
 
 
 def console_extension(core: ExtensionContext) -> Console:
-    """The view takes no time by its own clock: stories on the virtual clock must not depend on the machine's."""
+    """The extension with a constant CPU clock, so that tests on the virtual clock don't depend on real time."""
     return Console(core, features.Console(on=True, metrics=True), lambda: 0.0)
 
 
 async def get_console(world: World, index: int, path: str) -> Answer:
-    """One request of an operator."""
+    """One request on the operators' listener of the node `index`."""
     return await world.send("admin", f"10.0.0.{index}:2", "GET", f"/console/{path}", None, 5.0)
 
 
 def view_copy_of(world: World, query: Query | None = None) -> ViewCopy:
-    """A viewer that asks one node after the other, as the command line does."""
+    """A view copy that tries one node after another, as the command line does."""
     turn = 0
 
     async def ask(method: str, path: str) -> Answer:
@@ -45,7 +45,7 @@
 
 
 def mixed_workload() -> list[dict[str, Any]]:
-    """More than the machines and the teams can run at once, of every kind."""
+    """Jobs of every kind, more than the machines and the teams' limits allow to run at once."""
     found = [job(number, pieces=6, expected_s=40.0) for number in range(8)]
     found.append(job(20, crew="blue", shape="daemon", pieces=3))
     found.append(job(21, crew="blue", pieces=9, expected_s=60.0))
@@ -55,5 +55,6 @@
 
 
 async def wait_for_leader(world: World) -> None:
+    """Wait up to 30 s until a node leads and is ready."""
     await world.until(lambda: any(n.leader and n.leader.ready for n in world.nodes.values()), 30)
     await trio.sleep(0.1)
--- a/tests/console/measure.py
+++ b/tests/console/measure.py
@@ -1,8 +1,9 @@
 """Measures the view; not part of the tests: `python -m tests.console.measure [JOBS [MACHINES]]`.
 
-One controller under the real clock over the service in memory, its operators' listener on loopback. So many jobs of
-three tasks, and as many machines as the cloud has. Printed: bytes a second of one console and of 50, the leader's
-processor time of a first snapshot, of each answer of changes and in all, its memory, and the time to render the report.
+Runs one controller under the real clock with the in-memory state service, its operators' listener on loopback, JOBS
+jobs of three tasks, and as many machines as the cloud has. Prints: bytes a second of one console and of 50 consoles,
+the leader's processor time of a first snapshot, of each answer of changes and in all, its memory, and the time to
+render the report.
 """
 
 import hashlib
@@ -44,12 +45,12 @@
     return settings
 
 
-fakes.REPORT_S = 8.0  # s; six hundred workers share this process, and report as often in all as 150 would
+fakes.REPORT_S = 8.0  # s; 600 workers share this process and together report as often as 150 would
 narrow_settings, fakes.settings_of = fakes.settings_of, roomy_settings
 
 
 def viewer(tries: int = 3) -> tuple[HttpNetwork, ViewCopy]:
-    """As the command line asks: again when it is told to come back. `tries`: 30 where it waits a minute."""
+    """Requests like the command line's: repeated after Retry-After. `tries`: 30 for phases that wait up to a minute."""
     network = HttpNetwork(8, gzip=True)
 
     async def ask(method: str, path: str) -> tuple[int, Any]:
@@ -71,7 +72,7 @@
 
 
 def described(number: int) -> dict[str, Any]:
-    """Ids as users draw them: what is alike from job to job would compress too well."""
+    """A job with a random-looking id, as users choose them: similar ids would compress too well."""
     digits = hashlib.blake2b(str(number).encode(), digest_size=6).hexdigest()
     urgency = ("urgent", "standard")[number % 2]
     return fakes.job(number, name_id=f"run-{digits}", pieces=3, expected_s=30.0 + number % 60, urgency=urgency)
@@ -110,7 +111,7 @@
 
 
 def timed(console: Console) -> list[float]:
-    """Processor time of each answer that was made, not taken from a kept one."""
+    """Collects the processor time, in s, of each call that answers a request from the model or the cache."""
     view_service, costs = console._get_view_service(), []
     own = view_service._answer_from_model
 
--- a/tests/console/pictures.py
+++ b/tests/console/pictures.py
@@ -1,7 +1,7 @@
 """Draws the pictures in docs/images: `python -m tests.console.pictures DIR`. Not part of the tests.
 
-A troubled day is played in memory; the console is drawn by its own library, the page is written as it is (any browser
-makes a picture of it: `chromium --headless --screenshot`).
+Simulates a day with failures in memory. The console is drawn by its own library; the report is written as HTML (any
+browser makes a picture of it: `chromium --headless --screenshot`).
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 def scene(views: tuple[str, ...]) -> tuple[dict[str, ViewState], report.Content]:
-    """What a viewer sees of a day on which a leader died and a zone is cut off."""
+    """What a viewer sees after a leader died, in each view, and the report's content."""
     found: dict[str, ViewState] = {}
     contents: list[report.Content] = []
 
--- a/tests/console/test_history.py
+++ b/tests/console/test_history.py
@@ -1,4 +1,4 @@
-"""Time lines: bounded, honest about what they left out, and readable by the next leader."""
+"""Time lines stay within bounds, show what was left out, and can be continued by the next leader; costs; recoveries."""
 
 import tracemalloc
 import zlib
@@ -23,7 +23,7 @@
 
 
 def day(history: History, jobs: int) -> None:
-    """What a leader sees of so many jobs, ten records each."""
+    """Add what a leader records of `jobs` jobs, ten records each."""
     for number in range(jobs):
         at, name = BASE + number * 2.0, f"run-{number:08d}"
         history.add(name, EventKind.ACCEPTED, at)
@@ -36,7 +36,7 @@
         history.add(name, EventKind.OVER, at + 50, "done")
 
 
-def test_a_day_of_jobs_stays_within_its_budget_and_says_what_went() -> None:
+def test_time_lines_stay_within_their_memory_budget_and_count_what_was_dropped() -> None:
     history = History(BASE)
     tracemalloc.start()
     day(history, 22_000)
@@ -45,7 +45,7 @@
     assert history.size() <= c.HISTORY_BYTES
     assert held <= 1.1 * c.HISTORY_BYTES, "what it says of its size is what it takes"
     assert history.dropped > 0 and len(history) + history.dropped == 22_000
-    assert history.timeline("run-00021999") and not history.timeline("run-00000000")  # the oldest went
+    assert history.timeline("run-00021999") and not history.timeline("run-00000000")  # the oldest was dropped
 
 
 @given(some.lists(some.tuples(some.sampled_from([EventKind.STARTED, EventKind.ENDED, EventKind.REASON]),
@@ -61,12 +61,12 @@
     replaced = len(events) - sum(event.count for event in line)
     reasons = [n for n, (what, _, _) in enumerate(events) if what is EventKind.REASON]
     at_once = sum(1 for n in reasons if n and events[n - 1][0] is EventKind.REASON and events[n][1] == 0)
-    assert 0 <= replaced <= at_once  # only a reason that lasted no time gives way to the next
+    assert 0 <= replaced <= at_once  # only a reason that lasted no time is replaced
     assert len(line) <= c.LINE_RECORDS
     assert all(one.at <= other.at for one, other in pairwise(line))
 
 
-def test_the_next_leader_goes_on_and_shows_the_gap() -> None:
+def test_next_leader_continues_saved_time_lines_and_marks_the_gap() -> None:
     old, new = History(BASE), History(BASE - 1000)
     day(old, 3)
     old.add("run-w", EventKind.ACCEPTED, BASE)
@@ -82,11 +82,11 @@
         ("gap", "nothing is known of 445 s: another led"),
         ("reason", "1 machine booting"),
     ]
-    assert [event.what for event in new.timeline("run-x")] == ["accepted", "gap"]  # an earlier leader saved none of it
-    assert new.timeline("run-00000000") == old.timeline("run-00000000")  # what had ended has no gap
+    assert [event.what for event in new.timeline("run-x")] == ["accepted", "gap"]  # not in the earlier leader's save
+    assert new.timeline("run-00000000") == old.timeline("run-00000000")  # an ended job has no gap
 
 
-def test_as_much_is_saved_as_fits_those_that_wait_first() -> None:
+def test_a_save_holds_what_fits_with_waiting_jobs_first() -> None:
     history = History(BASE)
     day(history, 2000)
     for number in range(50):
@@ -99,7 +99,7 @@
     assert all(found.timeline(name)[:1] == history.timeline(name) for name in waiting)
 
 
-def test_what_cannot_be_read_changes_nothing() -> None:
+def test_an_unreadable_save_changes_nothing() -> None:
     history = History(BASE)
     history.add("run-1", EventKind.READY, BASE + 1)
     before = history.timeline("run-1")
@@ -114,7 +114,7 @@
         assert history.timeline("run-1") == before == [Event(BASE + 1, "ready")]
 
 
-# --- money and recoveries -------------------------------------------------------------------------
+# --- costs and recoveries -------------------------------------------------------------------------
 
 
 def cluster_of(machines: list[Machine]) -> Cluster:
@@ -127,7 +127,7 @@
 
 @given(some.lists(some.tuples(some.integers(0, 3), some.booleans(), some.integers(1, 40)), min_size=1, max_size=12))
 def test_money_is_divided_without_a_rest(plan: list[tuple[int, bool, int]]) -> None:
-    """Whatever runs where: by kind of machine and by use it is the same sum."""
+    """The costs by machine type and the costs by use add up to the same sum, whatever runs where."""
     machines = [machine(f"n-{n}", "a") for n in range(len(plan))]
     cluster = cluster_of(machines)
     money, now = CostAccounting(0.0, 0.0), 0.0
--- a/tests/console/test_terminal_and_report.py
+++ b/tests/console/test_terminal_and_report.py
@@ -1,4 +1,4 @@
-"""The two faces: the same words from the same model, nothing of a user's taken for markup, readable at any size."""
+"""Terminal and report show the same texts from the same model, escape users' names, and work at any size."""
 
 import asyncio
 import re
@@ -29,7 +29,7 @@
 
 
 class Page(HTMLParser):
-    """What a reader gets: tags as they open and close, texts of rows, scripts, anything that would be fetched."""
+    """Parses a report: open tags, wrong tags and attributes, texts of rows, scripts, and anything that is fetched."""
 
     def __init__(self, text: str) -> None:
         super().__init__()
@@ -78,7 +78,7 @@
     story(tell, parts=(console_extension,))
 
 
-def test_console_page_and_plain_table_show_the_same_of_every_job() -> None:
+def test_terminal_report_and_plain_table_show_the_same_for_every_job() -> None:
     found: dict[str, Any] = {}
 
     async def tell(world: World) -> None:
@@ -103,7 +103,7 @@
 
 
 def terminal_rows(view_state: ViewState, size: tuple[int, int]) -> list[list[str]]:
-    """The cells of the list of jobs, as a terminal of that size has them."""
+    """The cells of the list of jobs on a terminal of that size."""
 
     async def run() -> list[list[str]]:
         app = ConsoleApp(lambda selection: None, ZONE, Selection(parse_filter(""), "jobs"))
@@ -121,7 +121,7 @@
     return ViewState(1e9, HEAD, rows, overview, more.pop("stale", ""), False, **more)
 
 
-def test_hostile_names_are_text_on_both_faces() -> None:
+def test_hostile_names_are_shown_as_text_in_terminal_and_report() -> None:
     bad = row(1, job_class=HOSTILE, team=HOSTILE, text=f"waits for {HOSTILE}")
     text = report.render(content([bad, row(2)]), ZONE, title=HOSTILE)
     page = Page(text)
@@ -131,7 +131,7 @@
     assert terminal_rows(view_state_of([row(3, text="[bold]x[/bold]")]), (140, 24))[0][4] == "[bold]x[/bold]"
 
 
-def test_a_page_of_ten_thousand_jobs_is_small_whole_and_grouped() -> None:
+def test_a_report_of_ten_thousand_jobs_is_small_complete_and_grouped() -> None:
     whys = ("team-limit", "no-capacity", "booting")
     rows = [row(n, why=whys[n % 3], job_class=f"class-{n % 7}") for n in range(10_000)]
     text = report.render(content(rows), ZONE)
@@ -142,8 +142,8 @@
     assert "viewport" in text and "prefers-color-scheme: dark" in text and "Asia/Amman (EEST)" in text
 
 
-def test_each_bar_has_its_marks_on_it() -> None:
-    """Seen: every team's guarantee was drawn on the first team's bar."""
+def test_each_bar_has_its_own_marks() -> None:
+    """Guards against drawing every team's guarantee mark on the first team's bar."""
     names = ("cpus", "cpus_guaranteed", "cpus_limit", "gpus", "gpus_guaranteed", "gpus_limit", "cpus_unseen")
     teams = [{"name": name, **dict.fromkeys(names, 8.0)} for name in ("red", "blue")]
     page_content = content([row(1)])
@@ -154,7 +154,7 @@
     assert "4 tasks of 1 job<" in text
 
 
-def test_members_page_has_words_for_names_and_only_their_jobs() -> None:
+def test_members_report_has_pseudonyms_and_only_shown_teams() -> None:
     rows = [row(1, text="waits for run-000002"), row(2, team="blue")]
     text = report.render(report.for_members(content(rows), Redactor(False, ["red"], b"k" * 16)), ZONE)
     assert "run-0" not in text and "blue" not in text
@@ -202,8 +202,8 @@
     asyncio.run(run())
 
 
-def test_the_console_and_its_feed_run_in_threads_of_their_own() -> None:
-    """Seen: the feed showed its first moment before there was a screen, and ended; the console stood still."""
+def test_the_console_and_its_poller_run_in_separate_threads() -> None:
+    """Guards against a poller that updates before the screen exists: it ended, and the console no longer changed."""
     asked: list[str] = []
 
     async def ask(method: str, path: str) -> tuple[int, Any]:
@@ -237,7 +237,7 @@
     assert any(path.startswith("/console/jobs/run-000001") for path in asked)
 
 
-def test_a_filter_says_what_is_wrong_with_it() -> None:
+def test_a_bad_filter_names_the_problem() -> None:
     assert parse_filter("priority:urgent dust").text == "dust"
     assert parse_filter("").state == "unfinished"
     with pytest.raises(BadQuery, match="colour: no such field"):
@@ -246,7 +246,7 @@
         parse_filter("why:luck")
 
 
-def test_words_for_spans_moments_and_order() -> None:
+def test_texts_for_durations_times_and_queue_positions() -> None:
     assert [formatting.duration_text(s) for s in (0, 59.4, 60, 125, 3600, 12_000, 200_000)] == [
         "0 s", "59 s", "1 min", "2 min 5 s", "1 h", "3 h 20 min", "2 d 7 h",
     ]  # fmt: skip
@@ -295,7 +295,7 @@
     assert [path.name for path in tmp_path.iterdir() if path.suffix != ".html"] == []
 
 
-def test_rows_of_a_version_that_cannot_be_read_are_refused_whole() -> None:
+def test_rows_of_an_unknown_version_are_rejected_as_a_whole() -> None:
     async def ask(method: str, path: str) -> tuple[int, Any]:
         return 200, {**HEAD, "source": "leader", "jobs": [{"id": 7}], "next": ""}
 
@@ -307,8 +307,8 @@
     trio.run(main)
 
 
-def test_thousands_wait_and_the_view_stays_small_and_current() -> None:
-    """5,000 jobs wait for the limit of a team; one that is urgent and new is on the first page of its priority."""
+def test_the_view_stays_small_and_current_with_thousands_of_waiting_jobs() -> None:
+    """5,000 jobs wait for their team's limit; a new urgent job is on the first page of its priority."""
 
     async def tell(world: World) -> None:
         for number in range(0, 5000, 20):
--- a/tests/console/test_view.py
+++ b/tests/console/test_view.py
@@ -1,4 +1,4 @@
-"""Stories of the view: what it says is what the core decided, whoever leads, and it gives way to everything else."""
+"""The view shows what the leader decided, also after a change of leader, and yields to all other work."""
 
 from typing import Any
 
@@ -31,20 +31,20 @@
 
 
 def core_reasons(world: World) -> dict[str, tuple[str, str]]:
-    """What the leader's core says of each job that it works on."""
+    """Kind and text of the leader's reason for each unfinished job."""
     jobs = leader_of(world).cluster.jobs.values()
     return {job.spec.id: (job.reason.kind.value, job.reason.text()) for job in jobs if not job.over}
 
 
 async def compare_with_core(world: World, moments: int) -> int:
-    """Console, page and polls against the core's decisions, at so many moments; how many reasons were compared.
+    """Compare view and polls with the leader's reasons, `moments` times; returns how many reasons were compared.
 
-    A look takes a moment, so what is compared is what the core said the same before and after it.
+    Reading the view takes time, so only reasons that were the same before and after it are compared.
     """
     compared = 0
     view_copy = view_copy_of(world)
     for moment in range(moments):
-        await trio.sleep(c.TEXT_S + c.REFRESH_S + 0.37 * moment)  # numbers alone may be shown so late
+        await trio.sleep(c.TEXT_S + c.REFRESH_S + 0.37 * moment)  # numbers alone may be shown this late
         before = core_reasons(world)
         await view_copy.load_complete()
         await view_copy.apply_changes()
@@ -59,7 +59,7 @@
     return compared
 
 
-def test_console_page_and_polls_say_what_the_core_decided_on_a_troubled_day() -> None:
+def test_view_and_polls_show_the_leaders_reasons_through_failures() -> None:
     async def tell(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
@@ -73,7 +73,7 @@
         assert await compare_with_core(world, 2) >= 4
         world.cloud.out = False
         words = ViewModel._reason_text
-        try:  # one altered word on the way would be noticed
+        try:  # the comparison notices a changed text
             ViewModel._reason_text = lambda model, reason: words(model, reason) + "."  # type: ignore[method-assign]
             leader_of(world).cluster.listener.explained(
                 next(job for job in leader_of(world).cluster.jobs.values() if not job.over), trio.current_time()
@@ -86,7 +86,7 @@
     story(tell, parts=(console_extension,))
 
 
-def test_every_reason_that_a_day_brings_has_its_numbers() -> None:
+def test_reasons_state_their_numbers() -> None:
     async def tell(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
@@ -104,7 +104,7 @@
     story(tell, parts=(console_extension,))
 
 
-def test_nothing_is_rented_while_the_state_service_is_away_and_that_is_said() -> None:
+def test_the_view_says_that_nothing_is_rented_while_the_state_service_is_away() -> None:
     async def tell(world: World) -> None:
         world.cloud.capacity.clear()
         await world.submit(job(1))
@@ -125,7 +125,7 @@
     story(tell, parts=(console_extension,))
 
 
-def test_changes_lead_to_what_a_snapshot_shows() -> None:
+def test_applying_changes_gives_the_same_rows_as_a_snapshot() -> None:
     async def tell(world: World) -> None:
         view_copy = view_copy_of(world, Query(state="unfinished", page=3, most=1000))
         await view_copy.load_snapshot()
@@ -137,7 +137,7 @@
             behind += view_copy.behind
             await trio.sleep(5.0)
         await trio.sleep(c.TEXT_S + 1)
-        while True:  # small answers: the last changes come in parts
+        while True:  # answers are small, so the last changes need several
             await view_copy.apply_changes()
             if not view_copy.behind:
                 break
@@ -149,7 +149,7 @@
     story(tell, parts=(console_extension,))
 
 
-def test_a_console_goes_on_when_the_leader_dies_and_marks_what_is_old() -> None:
+def test_a_console_survives_a_change_of_leader_and_marks_stale_data() -> None:
     async def tell(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
@@ -172,8 +172,8 @@
     story(tell, parts=(console_extension,))
 
 
-def test_a_snapshot_that_a_change_of_leader_cuts_in_two_begins_anew() -> None:
-    """Seen: one page from the records, the next from a leader with few rows yet: four jobs of five were missed."""
+def test_a_snapshot_interrupted_by_a_change_of_leader_is_restarted() -> None:
+    """Guards against joining pages from the records and from a new leader with few rows, which lost 4 of 5 jobs."""
 
     async def tell(world: World) -> None:
         for one in mixed_workload():
@@ -198,7 +198,7 @@
     story(tell, parts=(console_extension,))
 
 
-def test_a_node_that_is_cut_off_shows_the_records_and_says_so() -> None:
+def test_a_follower_cut_off_from_the_leader_shows_its_records_and_says_so() -> None:
     async def tell(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
@@ -219,7 +219,7 @@
     story(tell, parts=(console_extension,))
 
 
-def test_time_lines_outlive_their_leader() -> None:
+def test_time_lines_survive_a_change_of_leader() -> None:
     async def tell(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
@@ -238,16 +238,16 @@
     story(tell, parts=(console_extension,))
 
 
-def test_a_saving_cut_short_or_of_another_make_is_left_and_the_one_before_serves() -> None:
+def test_an_incomplete_or_unknown_save_is_ignored_and_the_previous_one_restored() -> None:
     async def tell(world: World) -> None:
         await world.submit(job(1, expected_s=400.0))
         await trio.sleep(c.SAVE_EVERY_S + 8)
-        await world.submit(job(2, expected_s=400.0))  # without anything new, nothing is saved
+        await world.submit(job(2, expected_s=400.0))  # nothing is saved without new records
         await trio.sleep(c.SAVE_EVERY_S + 8)
         slots = {key: value for key, (value, _, _) in world.state.keys.items() if key.startswith(PREFIX)}
         assert {key.removeprefix(PREFIX)[0] for key in slots} == {"0", "1"}
         newest = max(slots, key=lambda key: slots[key]["number"])
-        world.state.change([{"set": newest, "value": {**slots[newest], "of": 2}}])  # its other half is missing
+        world.state.change([{"set": newest, "value": {**slots[newest], "of": 2}}])  # its second piece is missing
         world.state.change([{"set": f"{PREFIX}7/x", "value": {"who": "knows"}}])
         world.kill(world.leader())
         await wait_for_leader(world)
@@ -258,7 +258,7 @@
     story(tell, parts=(console_extension,))
 
 
-def test_what_an_earlier_leader_saved_late_does_not_count() -> None:
+def test_a_late_save_of_an_earlier_leader_is_refused() -> None:
     async def tell(world: World) -> None:
         await world.submit(job(1, expected_s=400.0))
         old, serve = world.leader(), world.state.serve
@@ -284,7 +284,7 @@
     assert _assemble_save(0, mixed) is None and _assemble_save(0, {**mixed, 1: Piece(1, 2, 2, "bbbb")}) is not None
 
 
-def test_a_revision_is_given_whole_however_small_the_answer() -> None:
+def test_a_revision_is_never_split_between_answers() -> None:
     async def tell(world: World) -> None:
         view_copy = view_copy_of(world, Query(state="unfinished", most=1000))
         await view_copy.load_snapshot()
@@ -302,8 +302,8 @@
     story(tell, parts=(console_extension,))
 
 
-def test_viewers_give_way_and_share_what_was_made() -> None:
-    """A view that costs more than its share is answered with an old answer, then with when to come back."""
+def test_viewers_stay_within_their_cpu_share_and_share_cached_answers() -> None:
+    """Viewers that use more than their CPU share get an old answer, then 503 with Retry-After."""
     used = [0.0]
     made: list[Console] = []
 
@@ -375,8 +375,8 @@
     assert words[0] == words[1] != words[2]
 
 
-def test_rows_are_made_beside_the_members_listener(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Seen on reading: the listener served for ever, and what makes many rows a part at a time never began."""
+def test_rows_are_built_while_the_members_listener_runs(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against the members' listener blocking the loop that builds rows in batches."""
     served: list[str] = []
 
     async def serve(server: Any, host: str, port: int) -> None:
@@ -399,7 +399,7 @@
     story(tell, parts=(open_,), write_rps=1000.0)
 
 
-def test_metrics_are_what_the_core_counts_and_name_no_job() -> None:
+def test_metrics_match_the_leaders_counts_and_name_no_job() -> None:
     async def tell(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
@@ -410,7 +410,7 @@
         quota = leader_of(world).cluster.quota
         assert float(lines['pepperlatch_team_cpus{team="red"}']) == quota.of("red").cpus > 0
         jobs = sum(float(value) for name, value in lines.items() if name.startswith("pepperlatch_jobs{"))
-        assert jobs == len(core_reasons(world)) + 1  # and the one that waits for another
+        assert jobs == len(core_reasons(world)) + 1  # and the job that waits for another
         assert "run-" not in text and lines["pepperlatch_leads"] == "1.0"
         other = next(i for i in world.nodes if i != index)
         _, text = await world.send("admin", f"10.0.0.{other}:2", "GET", "/metrics", None, 5.0)
@@ -419,7 +419,7 @@
     story(tell, parts=(console_extension,))
 
 
-def test_a_trace_is_the_time_line_of_one_job_though_its_leader_died(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_trace_holds_a_jobs_time_line_across_a_change_of_leader(caplog: pytest.LogCaptureFixture) -> None:
     def traced(core: ExtensionContext) -> Console:
         return Console(core, features.Console(on=True, trace_share=1.0), lambda: 0.0)
 
@@ -440,7 +440,7 @@
     assert [event["name"] for event in root["events"]][-1] == "over" and root["attributes"]["job"] == "run-000001"
 
 
-def test_the_sample_is_the_same_at_every_node(caplog: pytest.LogCaptureFixture) -> None:
+def test_every_node_samples_the_same_jobs(caplog: pytest.LogCaptureFixture) -> None:
     line = [Event(1e9, "accepted"), Event(1e9 + 5, "over", "done")]
     found = []
     for node in ("perch-0", "perch-1"):
@@ -452,7 +452,7 @@
     assert found[0] == found[1] and 60 <= len(found[0]) <= 140
 
 
-def test_a_wrong_question_names_its_field() -> None:
+def test_a_bad_query_names_its_field() -> None:
     for text, field in (
         ("priority=loud", "priority: must be one of production"), ("page=0", "page: must be a number from 1"),
         ("sort=luck", "sort: must be one of since"), ("colour=red", "colour: no such field"), ("page=x", "page: "),
@@ -479,7 +479,7 @@
     story(tell, parts=(console_extension,))
 
 
-def test_filters_take_what_they_name() -> None:
+def test_filters_match_the_named_fields() -> None:
     row = JobRow("run-1", "red", "x", "sweep", "urgent", "queued", 4, "team-limit", "team limit: red", 1.0, 2.0)
     for taken, query in (
         (True, Query(team="red", why="team-limit")), (False, Query(team="blue")), (True, Query(text="LIMIT")),
