--- a/pepperlatch/console/accounting.py
+++ b/pepperlatch/console/accounting.py
@@ -70,6 +70,7 @@
             self.useful_cpu_s += (now - attempt.running_at) * attempt.job.spec.cpus
 
     def summary(self, now: float) -> dict[str, Any]:
+        """The costs as the view shows them, rounded; `over_s`: the period that they cover."""
         total = sum(self.by_machine.values())
         unused = {name: self.by_use[("", name)] for name in (USE_BOOTING, USE_IDLE, USE_FREE)}
         return {
@@ -106,12 +107,12 @@
     """
 
     causes: dict[str, LossStats] = field(default_factory=dict)
-    _pending: dict[str, dict[int, tuple[float, str]]] = field(
-        default_factory=dict
-    )  # by job and task: when lost, and the cause
+    # By job and task: when the task was lost (steady clock, s), and the cause.
+    _pending: dict[str, dict[int, tuple[float, str]]] = field(default_factory=dict)
     _pending_count: int = 0
 
     def ended(self, attempt: Attempt, cause: str, now: float) -> None:
+        """Count a lost task, unless it never ran or the cause is no loss. `now`: steady clock, s."""
         if cause in NOT_LOSSES or attempt.running_at is None:
             return
         label = cause.split(" run-")[0][: c.CAUSE_CHARS]  # one cause for all "stopped for run-..."
@@ -124,6 +125,7 @@
             self._pending_count += 1
 
     def started(self, attempt: Attempt, now: float) -> None:
+        """Count a recovery if the task had been lost before. `now`: steady clock, s."""
         found = self._remove_pending(attempt)
         if found is not None:
             cause, elapsed_s = self.causes[found[1]], now - found[0]
@@ -142,6 +144,7 @@
         return found
 
     def summary(self) -> list[dict[str, Any]]:
+        """Losses and recoveries by cause as the view shows them, most frequent first."""
         waiting = Counter(label for tasks in self._pending.values() for _, label in tasks.values())
         return [
             {
--- a/pepperlatch/console/extension.py
+++ b/pepperlatch/console/extension.py
@@ -46,6 +46,7 @@
         self._first_request = trio.Event()
 
     def create_listener(self, leader: "Leader") -> Listener:
+        """A new recorder for the term, which also exports traces if they are on."""
         from pepperlatch.console.recorder import Recorder
 
         on_job_over = None
--- a/pepperlatch/console/poller.py
+++ b/pepperlatch/console/poller.py
@@ -81,8 +81,8 @@
         except (NoNodeAnswered, ViewRefused) as error:
             view_copy.why_stale = view_copy.why_stale or str(error)
         rows = sorted(view_copy.rows.values(), key=urgency_key)
-        at, ago = view_copy.head.get("at") or 0.0, trio.current_time() - view_copy.answered_at
-        now = at + ago if view_copy.head else 0.0
+        at, since_answer_s = view_copy.head.get("at") or 0.0, trio.current_time() - view_copy.answered_at
+        now = at + since_answer_s if view_copy.head else 0.0
         return ViewState(
             now, dict(view_copy.head), rows, dict(view_copy.overview), view_copy.stale_reason(), view_copy.behind,
             detail, listing,
--- a/pepperlatch/console/public.py
+++ b/pepperlatch/console/public.py
@@ -30,6 +30,7 @@
         self._key = key or secrets.token_bytes(16)
 
     def pseudonym(self, job_id: str) -> str:
+        """`job-` and WORD_DIGITS digits of a keyed hash of the id."""
         digest = hashlib.blake2b(job_id.encode("utf-8"), key=self._key).hexdigest()
         return f"job-{digest[: c.WORD_DIGITS]}"
 
@@ -46,6 +47,7 @@
         return {**row, "id": self.pseudonym(row["id"]), "text": self.redact_text(row["text"])}
 
     def redact_rows(self, found: list[dict[str, Any]]) -> list[dict[str, Any]]:
+        """The rows that members may see, redacted."""
         return [shown for row in found if (shown := self.redact_row(row)) is not None]
 
 
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -86,8 +86,10 @@
                     self._cache.clear()
                 await trio.sleep(c.REFRESH_S)
                 continue
-            enough = self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2  # half is for answers
-            if model.pending() and enough and not model.leader.owner.long():
+            has_budget = (
+                self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2
+            )  # half is for answers
+            if model.pending() and has_budget and not model.leader.owner.long():
                 with self._charge_cpu(now):
                     model.refresh()
             await trio.sleep(c.ROWS_PAUSE_S)
@@ -109,14 +111,14 @@
         self._last_request_at = now
         key = f"{path}?{query_string}"
         cached = self._cache.get(key)
-        whole = path == f"{BASE_PATH}/jobs" and cached is not None and not cached.answer["pending"]
-        keep_s = c.PAGE_KEPT_S if whole else c.REFRESH_S
-        if cached is not None and now - cached.made_at < keep_s and cached.token == model.leader.term.token:
+        all_rows_built = path == f"{BASE_PATH}/jobs" and cached is not None and not cached.answer["pending"]
+        max_age_s = c.PAGE_KEPT_S if all_rows_built else c.REFRESH_S
+        if cached is not None and now - cached.made_at < max_age_s and cached.token == model.leader.term.token:
             return cached
         if self._budget.available(now) <= 0 or model.leader.owner.long():
             if cached is not None and now - cached.made_at < c.AGE_MOST_S:
-                older = {**cached.answer, "age_s": round(now - cached.made_at, 1), "busy": True}
-                return _CachedAnswer(cached.made_at, cached.token, older)
+                stale_answer = {**cached.answer, "age_s": round(now - cached.made_at, 1), "busy": True}
+                return _CachedAnswer(cached.made_at, cached.token, stale_answer)
             raise LeaderBusy
         with self._charge_cpu(now):
             if now - self._refreshed_at >= c.REFRESH_S:
@@ -150,6 +152,7 @@
         return Response(200, cached.encoded[gzip], headers)
 
     def _answer_head(self, model: ViewModel) -> dict[str, Any]:
+        """The fields that every answer of a leader has. `at`: time of day, s."""
         return {
             "node": self._core.settings.node,
             "version": __version__,
@@ -162,6 +165,7 @@
         }
 
     def _answer_body(self, model: ViewModel, path: str, query_string: str) -> dict[str, Any]:
+        """The fields of the path's answer. Raises BadQuery, ChangesExpired (also for another term), or KeyError."""
         if path == f"{BASE_PATH}/changes":
             query, more = rows.parse_query(query_string, ("token", "since"))
             token, since = more.get("token", ""), more.get("since", "")
--- a/pepperlatch/console/terminal.py
+++ b/pepperlatch/console/terminal.py
@@ -47,6 +47,7 @@
     """A table whose rows are all replaced at each update; the cursor stays on the row with the same first cell."""
 
     def replace_rows(self, columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
+        """Show these rows, and these columns if they differ from the present ones."""
         key = self.current_key()
         if [str(column.label) for column in self.columns.values()] != list(columns):
             self.clear(columns=True)
@@ -152,6 +153,7 @@
             self.action_view("job")
 
     def _select_view(self, view: str) -> None:
+        """Report the new selection, and show the last view state until the next poll."""
         self._selection = Selection(self._selection.query, view, self._selection.job)
         self._on_select(self._selection)
         if self._last_state is not None:
