--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -265,7 +265,10 @@
 
 
 def _visibly_differs(one: JobRow, other: JobRow) -> bool:
-    """Whether a field changed that viewers are shown at once. A text with new numbers alone may wait for MIN_TEXT_REFRESH_S."""
+    """Whether a field changed that viewers are shown at once.
+
+    A text with new numbers alone may wait for MIN_TEXT_REFRESH_S.
+    """
     return (
         one.why != other.why or one.since != other.since or one.state != other.state or one.waiting != other.waiting
         or one.running != other.running or one.done != other.done
@@ -276,7 +279,8 @@
     """Makes the row of a job that the leader works on.
 
     `wall_offset`: seconds to add to the steady clock to get the time of day. The time of day drifts against the steady
-    clock, so `since` keeps its previous value while the reason is unchanged and the difference is below `SPAN_START_TOLERANCE_S`.
+    clock, so `since` keeps its previous value while the reason is unchanged and the difference is below
+    `SPAN_START_TOLERANCE_S`.
     """
     spec, reason = job.spec, job.reason
     running = job.running() if job.live else 0
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -74,7 +74,8 @@
         self._cache.clear()
 
     async def run(self) -> None:
-        """While there are viewers, rebuild pending rows in batches; after VIEW_IDLE_TIMEOUT_S without one, drop all rows.
+        """While there are viewers, rebuild pending rows in batches; after VIEW_IDLE_TIMEOUT_S without one, drop all
+        rows.
 
         Runs while the process lives. Batches stop when the budget is half used, so that answers have priority.
         """
@@ -104,7 +105,8 @@
     def _answer_from_model(self, model: ViewModel, path: str, query_string: str) -> "_CachedAnswer":
         """The answer from the model, or a recent cached one for the same request.
 
-        Without CPU budget, a cached answer up to MAX_ANSWER_AGE_S old is given, marked `busy`. Raises LeaderBusy if there is
+        Without CPU budget, a cached answer up to MAX_ANSWER_AGE_S old is given, marked `busy`. Raises LeaderBusy if
+        there is
         none, BadQuery, ChangesExpired, or KeyError for an unknown job.
         """
         now = self._core.clock()
