--- a/pepperlatch/command/cli.py
+++ b/pepperlatch/command/cli.py
@@ -255,7 +255,7 @@
     from pepperlatch.command import pipelines
 
     plan = pipelines.read(file, key).plan
-    click.echo(f"{file}: {plan.address}, {len(plan.steps)} jobs, nothing wrong")
+    click.echo(f"{file}: {plan.run_name}, {len(plan.steps)} jobs, nothing wrong")
     return 0
 
 
--- a/pepperlatch/command/pipelines.py
+++ b/pepperlatch/command/pipelines.py
@@ -46,7 +46,7 @@
 
 
 def show_plan(plan: plans.Plan, form: str) -> int:
-    named, times = plans.specs(plan), plans.timing(plan)
+    named, times = plans.job_specs(plan), plans.timing(plan)
     steps = {step.name: step for step in plan.steps}
     if form == "json":
         rows = [
@@ -55,7 +55,7 @@
              "job": wire.to_plain(spec)}
             for name, spec in named.items()
         ]  # fmt: skip
-        output.json({"run": plan.address, "steps": rows})
+        output.json({"run": plan.run_name, "steps": rows})
         return OK
     columns = ("step", "job", "tasks", "needs", "starts", "ends", "to spare")
     table = [
@@ -63,7 +63,7 @@
          output.seconds(times[name].ends_s), output.seconds(times[name].slack_s))
         for name, spec in named.items()
     ]  # fmt: skip
-    output.table(columns, table, plan.address)
+    output.table(columns, table, plan.run_name)
     late = [name for name, time in times.items() if time.slack_s < 0]
     if late:
         output.say(f"by its estimates the deadline cannot be met: {', '.join(late[:5])}")
@@ -71,7 +71,7 @@
 
 
 def run(talk: Talk, plan: plans.Plan, wait: bool) -> int:
-    return _begun(talk, "PUT", f"{ROOT}/{plan.address}", {"plan": _packed(plan)}, wait)
+    return _begun(talk, "PUT", f"{ROOT}/{plan.run_name}", {"plan": _packed(plan)}, wait)
 
 
 def _packed(plan: plans.Plan) -> str:
--- a/pepperlatch/pipelines/plan.py
+++ b/pepperlatch/pipelines/plan.py
@@ -43,13 +43,13 @@
     attempt: int = 1
 
     @property
-    def base(self) -> str:
+    def base_run_name(self) -> str:
         return f"{self.name}@{self.key}" if self.key else self.name
 
     @property
-    def address(self) -> str:
+    def run_name(self) -> str:
         """What the run is called: `name`, `name@key`, or with `~2` for the second attempt."""
-        return self.base + (f"~{self.attempt}" if self.attempt > 1 else "")
+        return self.base_run_name + (f"~{self.attempt}" if self.attempt > 1 else "")
 
 
 class BadPlan(Exception):
@@ -100,21 +100,21 @@
     return [steps[name] for name in sorter.static_order()]
 
 
-def specs(plan: Plan) -> dict[str, wire.JobSpec]:
+def job_specs(plan: Plan) -> dict[str, wire.JobSpec]:
     """The job of each step, by its name, in an order in which they can be submitted."""
     found: dict[str, wire.JobSpec] = {}
     for step in order(plan):
         needs = [found[name].id for name in step.needs] + step.jobs
         anew = step.repeat or step.attempt > 1
-        again = f"{plan.base}~{step.attempt}/{step.name}" if anew else ""
+        again = f"{plan.base_run_name}~{step.attempt}/{step.name}" if anew else ""
         found[step.name] = identified(step.job, plan.key, again, needs)
     return found
 
 
 def digest(plan: Plan) -> str:
     """The same for every plan that asks for the same, in whatever order it is written."""
-    asked = sorted((name, spec.id) for name, spec in specs(plan).items())
-    return hashlib.sha256(orjson.dumps([plan.address, asked])).hexdigest()[: c.ID_HASH_DIGITS]
+    asked = sorted((name, spec.id) for name, spec in job_specs(plan).items())
+    return hashlib.sha256(orjson.dumps([plan.run_name, asked])).hexdigest()[: c.ID_HASH_DIGITS]
 
 
 def problems(plan: Plan, repeats: Collection[str] | None = None) -> list[Problem]:
@@ -122,7 +122,7 @@
     if found := structure(plan):
         return found
     try:
-        named = specs(plan)
+        named = job_specs(plan)
     except CycleError as error:
         cycle = list(dict.fromkeys(reversed(error.args[1])))
         index = {step.name: i for i, step in enumerate(plan.steps)}[cycle[0]]
@@ -229,7 +229,7 @@
 
 def timing(plan: Plan) -> dict[str, Timing]:
     """How late each step may end without making a deadline late; nothing waits for machines here."""
-    named = specs(plan)
+    named = job_specs(plan)
     steps = {step.name: step for step in plan.steps}
     starts: dict[str, float] = {}
     ends: dict[str, float] = {}
--- a/pepperlatch/pipelines/runs.py
+++ b/pepperlatch/pipelines/runs.py
@@ -56,27 +56,27 @@
     ids: list[str]
 
 
-def record(address: str, digest: str, packed: str, at: float, value_kb: float) -> Change:
+def record(run_name: str, digest: str, packed: str, at: float, value_kb: float) -> Change:
     """Write a run down, with all that it takes to go on by anybody."""
     size = int(value_kb * 1024) - core.JOB_RECORD_OVERHEAD_BYTES
     pieces = store.split_text(packed, size) if len(packed) > size else []
     run = RunRecord(Phase.OPEN, digest, at, "" if pieces else packed, len(pieces))
-    writes = [put_run(address, run), wire.put(OPEN + address, {})]
-    writes += [wire.put(f"{PIECE}{address}/{n}", {"text": text}) for n, text in enumerate(pieces)]
-    return Change([wire.version_condition(RUN + address, 0)], writes, [])
+    writes = [put_run(run_name, run), wire.put(OPEN + run_name, {})]
+    writes += [wire.put(f"{PIECE}{run_name}/{n}", {"text": text}) for n, text in enumerate(pieces)]
+    return Change([wire.version_condition(RUN + run_name, 0)], writes, [])
 
 
 def create(
-    address: str, version: int, missing: Collection[wire.JobSpec], at: float, limits: StateLimits, most: int
+    run_name: str, version: int, missing: Collection[wire.JobSpec], at: float, limits: StateLimits, most: int
 ) -> Change:
     """The next jobs of a run, at least one, at most so many changes; the rest stays for the next time."""
-    when = [wire.version_condition(RUN + address, version)]
+    when = [wire.version_condition(RUN + run_name, version)]
     writes: list[dict[str, Any]] = []
     ids: list[str] = []
     size = 0
     for spec in missing:
         parts = store.description_parts(spec, limits.value_kb)
-        changes = store.creation_changes(spec, parts, at, address)
+        changes = store.creation_changes(spec, parts, at, run_name)
         size += sum(len(orjson.dumps(change)) for change in changes)
         if ids and (len(writes) + len(changes) > min(most, limits.txn_ops) or size > core.MAX_TXN_BYTES):
             break
@@ -86,15 +86,15 @@
     return Change(when, writes, ids)
 
 
-def moved(address: str, run: RunRecord, version: int, phase: Phase, reason: str = "") -> Change:
+def moved(run_name: str, run: RunRecord, version: int, phase: Phase, reason: str = "") -> Change:
     """To another phase; what has something left to do is kept where the leader looks."""
     after = msgspec.structs.replace(run, phase=phase, reason=reason[: c.MAX_REASON_CHARS] or run.reason)
-    mark = wire.put(OPEN + address, {}) if phase in PENDING else wire.delete(OPEN + address)
-    return Change([wire.version_condition(RUN + address, version)], [put_run(address, after), mark], [])
+    mark = wire.put(OPEN + run_name, {}) if phase in PENDING else wire.delete(OPEN + run_name)
+    return Change([wire.version_condition(RUN + run_name, version)], [put_run(run_name, after), mark], [])
 
 
-def put_run(address: str, run: RunRecord) -> dict[str, Any]:
-    return wire.put(RUN + address, wire.to_plain(run))
+def put_run(run_name: str, run: RunRecord) -> dict[str, Any]:
+    return wire.put(RUN + run_name, wire.to_plain(run))
 
 
 def changes_of(packed: str, value_kb: float) -> int:
--- a/pepperlatch/pipelines/scheduler.py
+++ b/pepperlatch/pipelines/scheduler.py
@@ -138,15 +138,15 @@
             record = msgspec.structs.replace(record, after=at)
             change = schedules.moved(name, version, record)
             run = msgspec.structs.replace(plan, key=schedules.stamp(at))
-            if await self._state.read(keys.RUN + run.address) is None:
-                begun = runs.record(run.address, plans.digest(run), plans.pack(run), self._wall(), self._value_kb)
+            if await self._state.read(keys.RUN + run.run_name) is None:
+                begun = runs.record(run.run_name, plans.digest(run), plans.pack(run), self._wall(), self._value_kb)
                 change = runs.Change(change.when + begun.when, change.writes + begun.writes, [])
             outcome = await self._service.commit(change)
             if not outcome.applied:
                 return  # somebody else dealt with it, or changed the schedule
             version = outcome.revision
-            log.info("schedule %s: %s is due", name, run.address)
-            self._service.drive(run.address)
+            log.info("schedule %s: %s is due", name, run.run_name)
+            self._service.drive(run.run_name)
 
     async def _plan(self, name: str, record: ScheduleRecord) -> Plan | None:
         """None if it is being replaced just now."""
--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -38,7 +38,7 @@
 class Held:
     """A run as it was read: its record, the version of its key, its plan and the jobs of its steps."""
 
-    address: str
+    run_name: str
     run: RunRecord
     version: int
     plan: Plan
@@ -84,39 +84,39 @@
         path, _, query = request.path.partition("?")
         if path.startswith(SCHEDULES):
             return await self._schedules.handle(request.method, unquote(path[len(SCHEDULES) + 1 :]), request.body)
-        address, _, verb = unquote(path[len(ROOT) :]).partition("/")
-        if not address and request.method == "GET":
+        run_name, _, verb = unquote(path[len(ROOT) :]).partition("/")
+        if not run_name and request.method == "GET":
             return Response(200, {"repeats": self._repeats, "steps": c.MAX_STEPS, "packed": c.MAX_PACKED_PLAN_CHARS})
-        if address and (request.method, verb) == ("PUT", ""):
-            return await self._put(address, request.body)
-        if address and (request.method, verb) == ("GET", ""):
-            return await self._show(address, parse_qs(query).get("after", [""])[0])
-        if address and (request.method, verb) == ("POST", "cancel"):
-            return await self._cancel(address)
-        if address and (request.method, verb) == ("POST", "rerun"):
-            return await self._rerun(address, request.body)
+        if run_name and (request.method, verb) == ("PUT", ""):
+            return await self._put(run_name, request.body)
+        if run_name and (request.method, verb) == ("GET", ""):
+            return await self._show(run_name, parse_qs(query).get("after", [""])[0])
+        if run_name and (request.method, verb) == ("POST", "cancel"):
+            return await self._cancel(run_name)
+        if run_name and (request.method, verb) == ("POST", "rerun"):
+            return await self._rerun(run_name, request.body)
         return Response(404, {"error": "no such path"})
 
-    async def _put(self, address: str, body: bytes) -> Response:
+    async def _put(self, run_name: str, body: bytes) -> Response:
         try:
             plan = plans.unpack(wire.convert(orjson.loads(body), _Body).plan)
         except (orjson.JSONDecodeError, msgspec.ValidationError, BadPlan) as error:
             return Response(400, {"error": str(error)})
-        refused = self.malformed(plan, address)
+        refused = self.malformed(plan, run_name)
         return refused or await self._begin(plan)
 
-    def malformed(self, plan: Plan, address: str) -> Response | None:
+    def malformed(self, plan: Plan, run_name: str) -> Response | None:
         wrong = plans.problems(plan, self._repeats)
-        if not wrong and plan.address == address:
+        if not wrong and plan.run_name == run_name:
             return None
         listed = [{"place": plans.where(p.path), "error": p.text} for p in wrong[: c.MAX_ERRORS_SHOWN]]
         if not wrong:
-            listed = [{"place": "name", "error": f"the plan is that of {plan.address!r}, not of {address!r}"}]
+            listed = [{"place": "name", "error": f"the plan is that of {plan.run_name!r}, not of {run_name!r}"}]
         return Response(400, {"error": "the plan cannot be run", "problems": listed})
 
     async def _begin(self, plan: Plan) -> Response:
         """Refused whole, or recorded; one known already is brought on, if it is the same."""
-        held, digest = await self._read(plan.address), plans.digest(plan)
+        held, digest = await self._read(plan.run_name), plans.digest(plan)
         if held is None:
             packed = plans.pack(plan)
             refused = self.too_large(packed)
@@ -127,12 +127,12 @@
                 return refused
             await self.room(1)
             at = self._core.wall()
-            change = runs.record(plan.address, digest, packed, at, self._limits.value_kb)
+            change = runs.record(plan.run_name, digest, packed, at, self._limits.value_kb)
             await self.commit(change)
-            held = await self._read(plan.address)
+            held = await self._read(plan.run_name)
             if held is None:
                 return retry_later()
-            log.info("run %s: %d steps", plan.address, len(plan.steps))
+            log.info("run %s: %d steps", plan.run_name, len(plan.steps))
         if held.run.digest != digest:
             differs = plans.differences(held.plan, plan)
             return Response(409, {"error": "this run was sent before with other content", "differs": differs})
@@ -148,7 +148,7 @@
     async def refusal(self, plan: Plan) -> Response | None:
         """What any of its jobs would be refused for, before any of them is sent."""
         found: list[dict[str, Any]] = []
-        named = plans.specs(plan)
+        named = plans.job_specs(plan)
         for number, step in enumerate(plan.steps):
             if number % c.CHECKS_PER_BATCH == 0:
                 await trio.sleep(0)
@@ -182,26 +182,26 @@
     async def _settled(self, held: Held) -> Response:
         """The answer once all its jobs are there or all are withdrawn; 202 if that takes longer."""
         if held.run.phase in runs.PENDING:
-            ended = self.drive(held.address)
+            ended = self.drive(held.run_name)
             with trio.move_on_after(core.SUBMIT_TIMEOUT_S):
                 await ended.wait()
-                held = await self._read(held.address) or held
-        answer = {"run": held.address, "phase": held.run.phase.value, "steps": len(held.specs)}
+                held = await self._read(held.run_name) or held
+        answer = {"run": held.run_name, "phase": held.run.phase.value, "steps": len(held.specs)}
         if held.run.reason:
             answer["reason"] = held.run.reason
         if held.run.phase in runs.PENDING:
             return Response(202, answer, {"Retry-After": str(core.RETRY_AFTER_S)})
         return Response(422 if held.run.phase is Phase.REFUSED else 200, answer)
 
-    async def _show(self, address: str, after: str) -> Response:
-        held = await self._read(address)
+    async def _show(self, run_name: str, after: str) -> Response:
+        held = await self._read(run_name)
         if held is None:
             return Response(404, {"error": "no such run"})
         await self._core.watcher.sync()
         names = list(held.specs)
         begin = int(after) if after.isdigit() else 0
         rows = [self._row(held, name) for name in names[begin : begin + c.STEPS_PER_PAGE]]
-        answer: dict[str, Any] = {"run": address, "status": self._status(held), "phase": held.run.phase.value}
+        answer: dict[str, Any] = {"run": run_name, "status": self._status(held), "phase": held.run.phase.value}
         if held.run.reason:
             answer["reason"] = held.run.reason
         answer["total"] = len(names)
@@ -228,25 +228,25 @@
         over = len(states) == len(held.specs) and all(state is wire.JobState.DONE for state in states)
         return str((wire.JobState.DONE if over else wire.JobState.RUNNING).value)
 
-    async def _cancel(self, address: str) -> Response:
-        held = await self._read(address)
+    async def _cancel(self, run_name: str) -> Response:
+        held = await self._read(run_name)
         if held is None:
             return Response(404, {"error": "no such run"})
         if held.run.phase in (Phase.OPEN, Phase.SENT):
-            outcome = await self.commit(runs.moved(address, held.run, held.version, Phase.CANCELLING))
+            outcome = await self.commit(runs.moved(run_name, held.run, held.version, Phase.CANCELLING))
             if not outcome.applied:
                 return retry_later()
-            held = await self._read(address) or held
+            held = await self._read(run_name) or held
         answer = await self._settled(held)
         return Response(200, answer.body) if answer.status == 422 else answer
 
-    async def _rerun(self, address: str, body: bytes) -> Response:
+    async def _rerun(self, run_name: str, body: bytes) -> Response:
         """Begin the next attempt: the steps named and all after them anew, the others as they are."""
         try:
             first = wire.convert(orjson.loads(body), _Again).first
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
             return Response(400, {"error": str(error)})
-        held = await self._read(address)
+        held = await self._read(run_name)
         if held is None:
             return Response(404, {"error": "no such run"})
         unknown = [name for name in first if name not in held.specs]
@@ -255,7 +255,7 @@
             return Response(400, {"error": "; ".join(said) or "no step is named"})
         plan = plans.redone(held.plan, first)
         await self._core.watcher.sync()
-        wrong = [] if await self._read(plan.address) else self._not_again(held, plan)
+        wrong = [] if await self._read(plan.run_name) else self._not_again(held, plan)
         if wrong:
             return Response(409, {"error": "cannot be run again so", "problems": wrong[: c.MAX_ERRORS_SHOWN]})
         return await self._begin(plan)
@@ -282,23 +282,23 @@
 
     # --- reading ----------------------------------------------------------------------------------
 
-    async def _read(self, address: str) -> Held | None:
+    async def _read(self, run_name: str) -> Held | None:
         """Linearizable. NotExecuted if too many wait already: polls of runs must not crowd out those of jobs."""
         if self._reads.statistics().tasks_waiting >= c.MAX_WAITING_RUN_READS:
             raise NotExecuted("too many look at runs")
         async with self._reads:
-            pair = await self._state.read(keys.RUN + address) if plans.ADDRESS.fullmatch(address) else None
+            pair = await self._state.read(keys.RUN + run_name) if plans.ADDRESS.fullmatch(run_name) else None
             if pair is None:
                 return None
             run: RunRecord = wire.convert(pair.value, RunRecord)
-            plan, specs = await self._plan(address, run)
-        return Held(address, run, pair.version, plan, specs)
+            plan, specs = await self._plan(run_name, run)
+        return Held(run_name, run, pair.version, plan, specs)
 
-    async def _plan(self, address: str, run: RunRecord) -> tuple[Plan, dict[str, wire.JobSpec]]:
-        known = self._plans.get((address, run.digest))
+    async def _plan(self, run_name: str, run: RunRecord) -> tuple[Plan, dict[str, wire.JobSpec]]:
+        known = self._plans.get((run_name, run.digest))
         if known is None:
-            plan = plans.unpack(run.plan or await self.joined(keys.PIECE + address, run.pieces))
-            known = self._plans[(address, run.digest)] = (plan, plans.specs(plan))
+            plan = plans.unpack(run.plan or await self.joined(keys.PIECE + run_name, run.pieces))
+            known = self._plans[(run_name, run.digest)] = (plan, plans.job_specs(plan))
             if len(self._plans) > c.MAX_CACHED_PLANS:
                 self._plans.popitem(last=False)
         return known
@@ -310,24 +310,24 @@
 
     # --- bringing a run on ------------------------------------------------------------------------
 
-    def drive(self, address: str) -> trio.Event:
+    def drive(self, run_name: str) -> trio.Event:
         """Bring it on in the background, once at a time at this node; the event tells that it has ended."""
-        ended = self._driven.get(address)
+        ended = self._driven.get(run_name)
         if ended is None:
-            ended = self._driven[address] = trio.Event()
-            self._nursery.start_soon(self._bring_on, address, ended)
+            ended = self._driven[run_name] = trio.Event()
+            self._nursery.start_soon(self._bring_on, run_name, ended)
         return ended
 
-    async def _bring_on(self, address: str, ended: trio.Event) -> None:
+    async def _bring_on(self, run_name: str, ended: trio.Event) -> None:
         """Cancelled or dead at any moment, it leaves a run that anyone can bring on from there."""
         try:
-            while (held := await self._patiently(self._read, address)) is not None and held.run.phase in runs.PENDING:
+            while (held := await self._patiently(self._read, run_name)) is not None and held.run.phase in runs.PENDING:
                 step = self._send if held.run.phase is Phase.OPEN else self._withdraw
                 await self._patiently(step, held)
         except Exception:
-            log.exception("run %s cannot be brought on", address)
+            log.exception("run %s cannot be brought on", run_name)
         finally:
-            self._driven.pop(address, None)
+            self._driven.pop(run_name, None)
             ended.set()
 
     async def _patiently(self, do: Callable[[Any], Any], what: Any) -> Any:
@@ -353,19 +353,19 @@
                 if not missing:
                     break
                 outcome = await self._send_some(held, missing)
-            if outcome is None or keys.RUN + held.address in outcome.failed:
+            if outcome is None or keys.RUN + held.run_name in outcome.failed:
                 return
             there = _jobs_of(outcome)
             present.update(there)
             if len(there) > 1 and outcome.failed:
                 await trio.sleep(c.OTHER_CREATOR_WAIT_S)  # another node is at it: let it, but do not rely on it
                 return
-        await self.commit(runs.moved(held.address, held.run, held.version, Phase.SENT))
+        await self.commit(runs.moved(held.run_name, held.run, held.version, Phase.SENT))
 
     async def _send_some(self, held: Held, missing: list[wire.JobSpec]) -> Outcome | None:
         """The next batch; None if the run was refused instead, by the check of POST /work or by the state service."""
         most = self._state.max_background_changes()
-        change = runs.create(held.address, held.version, missing, held.run.at, self._limits, most)
+        change = runs.create(held.run_name, held.version, missing, held.run.at, self._limits, most)
         wrong = next(((spec, why) for spec in missing[: len(change.ids)] if (why := self._wrong(spec))), None)
         reason = f"{wrong[0].id}: {wrong[1][1]}" if wrong is not None else ""
         if not reason:
@@ -373,7 +373,7 @@
                 return await self.commit(change)
             except Rejected as error:  # it never will be taken, so the run must not lie open for ever
                 reason = str(error)
-        await self.commit(runs.moved(held.address, held.run, held.version, Phase.REFUSING, reason))
+        await self.commit(runs.moved(held.run_name, held.run, held.version, Phase.REFUSING, reason))
         return None
 
     async def _withdraw(self, held: Held) -> None:
@@ -383,11 +383,11 @@
             entry = self._core.watcher.replica.jobs.get(spec.id)
             if entry is None or entry.state in wire.FINAL_JOB_STATES:
                 continue
-            if held.run.phase is Phase.REFUSING and entry.record.run != held.address:
+            if held.run.phase is Phase.REFUSING and entry.record.run != held.run_name:
                 continue
             if (await self._core.users.cancel(spec.id)).status != 200:
                 raise NotExecuted(f"{spec.id} cannot be cancelled now")
-        await self.commit(runs.moved(held.address, held.run, held.version, runs.WITHDRAWN[held.run.phase]))
+        await self.commit(runs.moved(held.run_name, held.run, held.version, runs.WITHDRAWN[held.run.phase]))
 
     async def room(self, changes: int) -> None:
         """Wait until the budget has more than those may need who submit single jobs."""
--- a/tests/pipelines/helpers.py
+++ b/tests/pipelines/helpers.py
@@ -34,7 +34,7 @@
 
 def announce(world: World, plan: Plan) -> dict[str, str]:
     """Make the jobs known to the workers in memory, as users upload descriptions; the id of each step."""
-    named = plans.specs(plan)
+    named = plans.job_specs(plan)
     for spec in named.values():
         body = msgspec.to_builtins(spec)
         world.jobs.setdefault(spec.id, body)
@@ -44,7 +44,7 @@
 
 async def put(world: World, plan: Plan, index: int | None = None) -> tuple[int, Any]:
     node = min(world.nodes) if index is None else index
-    return await world.ask(node, "PUT", f"/pipelines/{plan.address}", {"plan": plans.pack(plan)})
+    return await world.ask(node, "PUT", f"/pipelines/{plan.run_name}", {"plan": plans.pack(plan)})
 
 
 async def insist(world: World, plan: Plan, index: int | None = None, seconds: float = 60.0) -> tuple[int, Any]:
@@ -60,15 +60,15 @@
             await trio.sleep(2.0)  # as Retry-After says
 
 
-async def show(world: World, address: str) -> Any:
-    status, answer = await world.ask(min(world.nodes), "GET", f"/pipelines/{address}")
+async def show(world: World, run_name: str) -> Any:
+    status, answer = await world.ask(min(world.nodes), "GET", f"/pipelines/{run_name}")
     assert status == 200, answer
     return answer
 
 
-async def until_status(world: World, address: str, status: str, seconds: float = 120.0) -> Any:
+async def until_status(world: World, run_name: str, status: str, seconds: float = 120.0) -> Any:
     with trio.fail_after(seconds):
-        while (answer := await show(world, address))["status"] != status:
+        while (answer := await show(world, run_name))["status"] != status:
             await trio.sleep(1.0)
     return answer
 
--- a/tests/pipelines/test_both_paths.py
+++ b/tests/pipelines/test_both_paths.py
@@ -61,7 +61,7 @@
         world.cloud.out = False
         for index in range(3):
             world.start(index)
-        ids = [spec.id for spec in plans.specs(plan).values()]
+        ids = [spec.id for spec in plans.job_specs(plan).values()]
         for _ in range(4):
             await trio.sleep(6.0)
             for job_id in ids:
@@ -84,7 +84,7 @@
     async def sent_by_command(world: World, plan: Plan) -> None:
         held = {step.name: step for step in plan.steps}
         ids: dict[str, str] = {}
-        for name in plans.specs(plan):
+        for name in plans.job_specs(plan):
             job = dict(held[name].job)
             if held[name].needs:
                 job["prereqs"] = [ids[need] for need in held[name].needs]
--- a/tests/pipelines/test_files.py
+++ b/tests/pipelines/test_files.py
@@ -44,7 +44,7 @@
 def test_a_file_becomes_jobs_with_one_deadline_and_time_to_spare() -> None:
     plan = compiled(GOOD.encode()).plan
     assert [step.name for step in plan.steps] == ["collect", "render-ann", "render-james", "send"]
-    named = plans.specs(plan)
+    named = plans.job_specs(plan)
     assert [spec.deadline_s for spec in named.values()] == [None, None, None, 600.0]
     assert set(named["send"].needs or ()) == {named["render-ann"].id, named["render-james"].id}
     times = plans.timing(plan)
@@ -153,7 +153,7 @@
         assert error.found and all(m.place.line >= 1 and m.place.column >= 1 and m.text for m in error.found)
         return None
     assert plans.problems(plan) == []
-    for spec in plans.specs(plan).values():
+    for spec in plans.job_specs(plan).values():
         check_job(wire.to_plain(spec))  # the core refuses none of them as malformed
     assert plans.unpack(plans.pack(plan)) == plan
     return plan
@@ -174,7 +174,7 @@
     assert (plan is None) == (other is None)
     if plan is not None and other is not None:
         assert plans.digest(plan) == plans.digest(other)
-        assert {s: spec.id for s, spec in plans.specs(plan).items()} == {s: x.id for s, x in plans.specs(other).items()}
+        assert {s: spec.id for s, spec in plans.job_specs(plan).items()} == {s: x.id for s, x in plans.job_specs(other).items()}
 
 
 def test_the_id_follows_from_what_is_asked_and_from_nothing_else() -> None:
--- a/tests/pipelines/test_runs.py
+++ b/tests/pipelines/test_runs.py
@@ -60,7 +60,7 @@
     async def tell(world: World) -> None:
         plan = chain(2, key="2026-11")
         ids = announce(world, plan)
-        alone = msgspec.to_builtins(plans.specs(plan)["s0"])
+        alone = msgspec.to_builtins(plans.job_specs(plan)["s0"])
         world.jobs[ids["s0"]] = alone
         leader = world.leader()
         one, other = [n for n in world.nodes if n != leader]
@@ -79,7 +79,7 @@
             world.kill(leader)
         assert answers["file"][0] == 200
         assert answers["command"][0] in (200, 201)
-        await until_status(world, plan.address, "done")
+        await until_status(world, plan.run_name, "done")
         assert sorted(jobs_stored(world)) == sorted(ids.values())
         assert world.observer.starts[ids["s0"]] == 2  # two tasks, once each
 
@@ -118,7 +118,7 @@
             assert stored in (set(), set(ids.values())), f"half a run after {survives} transactions"
             assert (await insist(world, plan))[0] == 200
             assert set(ids.values()) <= set(jobs_stored(world))
-        await until_status(world, plan.address, "done", 200)
+        await until_status(world, plan.run_name, "done", 200)
 
     story(tell, parts=PARTS)
 
@@ -174,7 +174,7 @@
     async def tell(world: World) -> None:
         plan = chain(30, pieces=1, expected_s=60.0)
         ids = announce(world, plan)
-        alone = msgspec.to_builtins(plans.specs(plan)["s0"])
+        alone = msgspec.to_builtins(plans.job_specs(plan)["s0"])
         assert (await world.submit(alone))[0] == 201  # another user's, before the run
         async with trio.open_nursery() as nursery:
             nursery.start_soon(put_and_die, world, plan, 0)
@@ -344,7 +344,7 @@
         plan = chain(3, expected_s=1.0, pieces=1)
         ids = announce(world, plan)
         key = "j/job/" + ids["s1"]
-        theirs = store.creation_changes(plans.specs(plan)["s1"], [], 7.0)
+        theirs = store.creation_changes(plans.job_specs(plan)["s1"], [], 7.0)
         before(world, key, "queued", lambda: world.state.change(theirs))
         assert (await insist(world, plan))[0] == 200
         assert world.state.keys[key][0]["at"] == 7.0
