--- a/pepperlatch/command/pipelines.py
+++ b/pepperlatch/command/pipelines.py
@@ -17,25 +17,25 @@
 from pepperlatch.protocol import wire
 
 if TYPE_CHECKING:
-    from pepperlatch.pipelines.compile import Compiled
+    from pepperlatch.pipelines.compile import CompiledFile
 
 ROOT, SCHEDULES = "/pipelines", "/schedules"
 OVER = {DONE, wire.JobState.CANCELLED.value, "refused", "cancelled"}
 
 
-def read(file: str, key: str | None, team: str | None = None) -> "Compiled":
+def read(file: str, key: str | None, team: str | None = None) -> "CompiledFile":
     """What a file asks for; every mistake is printed with its place, and the command ends with code 2."""
     from pepperlatch.command import preferences
-    from pepperlatch.pipelines.compile import compiled
-    from pepperlatch.pipelines.document import Mistakes
+    from pepperlatch.pipelines.compile import compile_file
+    from pepperlatch.pipelines.document import InvalidFile
 
     data = sys.stdin.buffer.read(c.MAX_FILE_BYTES + 1) if file == "-" else _bytes(file)
     try:
-        return compiled(data, key, preferences.load().team if team is None else team)
-    except Mistakes as error:
-        for mistake in error.found[: c.MAX_ERRORS_SHOWN]:
-            click.echo(mistake.line("standard input" if file == "-" else file), err=True)
-        if (more := len(error.found) - c.MAX_ERRORS_SHOWN) > 0:
+        return compile_file(data, key, preferences.load().team if team is None else team)
+    except InvalidFile as error:
+        for mistake in error.mistakes[: c.MAX_ERRORS_SHOWN]:
+            click.echo(mistake.format("standard input" if file == "-" else file), err=True)
+        if (more := len(error.mistakes) - c.MAX_ERRORS_SHOWN) > 0:
             click.echo(f"and {more} more", err=True)
         raise click.exceptions.Exit(USAGE) from None
 
@@ -81,7 +81,7 @@
     return packed
 
 
-def schedule(talk: Talk, asked: "Compiled") -> int:
+def schedule(talk: Talk, asked: "CompiledFile") -> int:
     if asked.schedule is None:
         raise ValueError("the file has no `schedule`")
     body = {"plan": _packed(asked.plan), "schedule": asked.schedule}
--- a/pepperlatch/pipelines/compile.py
+++ b/pepperlatch/pipelines/compile.py
@@ -11,7 +11,7 @@
 from pepperlatch.constants import pipelines as c
 from pepperlatch.pipelines import document, model
 from pepperlatch.pipelines import plan as plans
-from pepperlatch.pipelines.document import Document, Mistake, Mistakes, Path
+from pepperlatch.pipelines.document import Document, InvalidFile, Mistake, Path
 from pepperlatch.protocol import wire
 
 _WORD = re.compile(r"\{(\w[\w.-]*)\}")
@@ -27,27 +27,27 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Compiled:
+class CompiledFile:
     """What a file asks for; `schedule` as it is sent, None if it has none."""
 
     plan: plans.Plan
     schedule: dict[str, Any] | None
 
 
-def compiled(data: bytes, key: str | None = None, team: str = "") -> Compiled:
-    """The plan of a file. `key` goes before the file's own, `team` after everything in it. Raises Mistakes."""
+def compile_file(data: bytes, key: str | None = None, team: str = "") -> CompiledFile:
+    """The plan of a file. `key` goes before the file's own, `team` after everything in it. Raises InvalidFile."""
     read = document.load(data)
     try:
         file = model.Pipeline.model_validate(read.value)
     except ValidationError as error:
-        raise Mistakes(list(_invalid(read, error))) from None
+        raise InvalidFile(list(_invalid(read, error))) from None
     builder = _Builder(read, file, team)
     plan = builder.plan(file.key if key is None else key)
     wrong = plans.structure(plan) if builder.found else plans.problems(plan)
     found = builder.found + [builder.mistake(problem) for problem in wrong] + list(_unscheduled(read, file))
     if found:
-        raise Mistakes(found)
-    return Compiled(plan, file.schedule.model_dump() if file.schedule is not None else None)
+        raise InvalidFile(found)
+    return CompiledFile(plan, file.schedule.model_dump() if file.schedule is not None else None)
 
 
 def _unscheduled(read: Document, file: model.Pipeline) -> Iterator[Mistake]:
--- a/pepperlatch/pipelines/document.py
+++ b/pepperlatch/pipelines/document.py
@@ -36,16 +36,16 @@
     text: str
     path: str = ""
 
-    def line(self, name: str) -> str:
+    def format(self, name: str) -> str:
         return f"{name}:{self.place.line}:{self.place.column}: " + (f"{self.path}: " if self.path else "") + self.text
 
 
-class Mistakes(Exception):
+class InvalidFile(Exception):
     """All that is wrong with a file, in order of place."""
 
     def __init__(self, found: list[Mistake]) -> None:
         super().__init__(found[0].text)
-        self.found = sorted(set(found))
+        self.mistakes = sorted(set(found))
 
 
 @dataclass(slots=True)
@@ -64,7 +64,7 @@
 
 
 def load(data: bytes) -> Document:
-    """Raises Mistakes."""
+    """Raises InvalidFile."""
     if len(data) > c.MAX_FILE_BYTES:
         raise _mistake(Place(1, 1), f"the file has {len(data)} bytes; at most {c.MAX_FILE_BYTES} are read")
     try:
@@ -86,12 +86,12 @@
     reader = _Reader(Document(None))
     reader.document.value = reader.read(root, ())
     if reader.found:
-        raise Mistakes(reader.found)
+        raise InvalidFile(reader.found)
     return reader.document
 
 
-def _mistake(place: Place, text: str) -> Mistakes:
-    return Mistakes([Mistake(place, text)])
+def _mistake(place: Place, text: str) -> InvalidFile:
+    return InvalidFile([Mistake(place, text)])
 
 
 def _place(mark: Any) -> Place:
--- a/tests/pipelines/measure.py
+++ b/tests/pipelines/measure.py
@@ -13,7 +13,7 @@
 import trio
 
 from pepperlatch.pipelines import plan as plans
-from pepperlatch.pipelines.compile import compiled
+from pepperlatch.pipelines.compile import compile_file
 from tests.fakes import World, job, story
 from tests.pipelines.helpers import PARTS, announce, chain, insist, jobs_stored
 
@@ -35,13 +35,13 @@
     times = []
     for _ in range(5):
         at = time.process_time()
-        plan = compiled(data).plan
+        plan = compile_file(data).plan
         times.append(time.process_time() - at)
     at = time.process_time()
     plans.timing(plan)
     slack_s = time.process_time() - at
     tracemalloc.start()
-    packed = plans.pack(compiled(data).plan)
+    packed = plans.pack(compile_file(data).plan)
     most = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     print(f"a file of 1,000 steps, {len(data)} bytes: checked and planned in {statistics.median(times):.2f} s of")
--- a/tests/pipelines/test_files.py
+++ b/tests/pipelines/test_files.py
@@ -15,8 +15,8 @@
 from pepperlatch.controller.users import check_job
 from pepperlatch.pipelines import canonical, model
 from pepperlatch.pipelines import plan as plans
-from pepperlatch.pipelines.compile import compiled
-from pepperlatch.pipelines.document import Mistakes
+from pepperlatch.pipelines.compile import compile_file
+from pepperlatch.pipelines.document import InvalidFile
 from pepperlatch.protocol import wire
 from tests.pipelines.helpers import described
 
@@ -36,13 +36,13 @@
 
 
 def mistakes(text: str | bytes) -> list[str]:
-    with pytest.raises(Mistakes) as refused:
-        compiled(text.encode("utf-8") if isinstance(text, str) else text)
-    return [mistake.line("f") for mistake in refused.value.found]
+    with pytest.raises(InvalidFile) as refused:
+        compile_file(text.encode("utf-8") if isinstance(text, str) else text)
+    return [mistake.format("f") for mistake in refused.value.mistakes]
 
 
 def test_a_file_becomes_jobs_with_one_deadline_and_time_to_spare() -> None:
-    plan = compiled(GOOD.encode()).plan
+    plan = compile_file(GOOD.encode()).plan
     assert [step.name for step in plan.steps] == ["collect", "render-ann", "render-james", "send"]
     named = plans.job_specs(plan)
     assert [spec.deadline_s for spec in named.values()] == [None, None, None, 600.0]
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("file", sorted((ROOT / "examples").glob("*.yaml")), ids=lambda file: file.stem)
 def test_the_examples_are_planned_without_a_late_step(file: Path) -> None:
-    plan = compiled(file.read_bytes()).plan
+    plan = compile_file(file.read_bytes()).plan
     assert len(plan.steps) >= 4 and all(0 < time.slack_s < 3600 for time in plans.timing(plan).values())
 
 
@@ -148,9 +148,9 @@
 
 def planned_or_refused(data: bytes) -> plans.Plan | None:
     try:
-        plan = compiled(data).plan
-    except Mistakes as error:
-        assert error.found and all(m.place.line >= 1 and m.place.column >= 1 and m.text for m in error.found)
+        plan = compile_file(data).plan
+    except InvalidFile as error:
+        assert error.mistakes and all(m.place.line >= 1 and m.place.column >= 1 and m.text for m in error.mistakes)
         return None
     assert plans.problems(plan) == []
     for spec in plans.job_specs(plan).values():
@@ -174,7 +174,9 @@
     assert (plan is None) == (other is None)
     if plan is not None and other is not None:
         assert plans.digest(plan) == plans.digest(other)
-        assert {s: spec.id for s, spec in plans.job_specs(plan).items()} == {s: x.id for s, x in plans.job_specs(other).items()}
+        assert {s: spec.id for s, spec in plans.job_specs(plan).items()} == {
+            s: x.id for s, x in plans.job_specs(other).items()
+        }
 
 
 def test_the_id_follows_from_what_is_asked_and_from_nothing_else() -> None:
