--- a/pepperlatch/command/talk.py
+++ b/pepperlatch/command/talk.py
@@ -95,7 +95,7 @@
             return job
         job.pop(wire.ID_FIELD, None)
         try:
-            return {**job, wire.ID_FIELD: canonical.identified(job, key, again).id}
+            return {**job, wire.ID_FIELD: canonical.with_content_id(job, key, again).id}
         except msgspec.ValidationError as error:
             raise ValueError(f"{file}: {error}") from None
 
--- a/pepperlatch/pipelines/canonical.py
+++ b/pepperlatch/pipelines/canonical.py
@@ -17,7 +17,7 @@
 from pepperlatch.protocol import wire
 
 
-def form(spec: wire.JobSpec, key: str = "", again: str = "") -> bytes:
+def canonical_form(spec: wire.JobSpec, key: str = "", again: str = "") -> bytes:
     plain = wire.to_plain(
         msgspec.structs.replace(
             spec,
@@ -32,10 +32,10 @@
 
 def job_id(spec: wire.JobSpec, key: str = "", again: str = "") -> str:
     """The id of what is asked; `spec.id` has no part in it."""
-    return wire.job_id(hashlib.sha256(form(spec, key, again)).hexdigest()[: c.ID_HASH_DIGITS])
+    return wire.job_id(hashlib.sha256(canonical_form(spec, key, again)).hexdigest()[: c.ID_HASH_DIGITS])
 
 
-def described(job: dict[str, Any], needs: list[str] | None = None) -> wire.JobSpec:
+def parse_description(job: dict[str, Any], needs: list[str] | None = None) -> wire.JobSpec:
     """A description without an id, checked for types; raises msgspec.ValidationError naming the field."""
     named = {**job, wire.ID_FIELD: wire.job_id("0")}
     if needs:
@@ -44,7 +44,9 @@
     return spec
 
 
-def identified(job: dict[str, Any], key: str = "", again: str = "", needs: list[str] | None = None) -> wire.JobSpec:
+def with_content_id(
+    job: dict[str, Any], key: str = "", again: str = "", needs: list[str] | None = None
+) -> wire.JobSpec:
     """The description with the id that follows from it."""
-    spec = described(job, needs)
+    spec = parse_description(job, needs)
     return msgspec.structs.replace(spec, id=job_id(spec, key, again))
--- a/pepperlatch/pipelines/plan.py
+++ b/pepperlatch/pipelines/plan.py
@@ -15,7 +15,7 @@
 import orjson
 
 from pepperlatch.constants import pipelines as c
-from pepperlatch.pipelines.canonical import identified
+from pepperlatch.pipelines.canonical import with_content_id
 from pepperlatch.protocol import wire
 
 NAME = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9_.-]*[A-Za-z0-9])?")
@@ -107,7 +107,7 @@
         needs = [found[name].id for name in step.needs] + step.jobs
         anew = step.repeat or step.attempt > 1
         again = f"{plan.base_run_name}~{step.attempt}/{step.name}" if anew else ""
-        found[step.name] = identified(step.job, plan.key, again, needs)
+        found[step.name] = with_content_id(step.job, plan.key, again, needs)
     return found
 
 
@@ -175,7 +175,7 @@
 def _descriptions(plan: Plan) -> Iterator[Problem]:
     for i, step in enumerate(plan.steps):
         try:
-            identified(step.job)
+            with_content_id(step.job)
         except msgspec.ValidationError as error:
             yield Problem(("steps", i, "job"), str(error))
 
--- a/tests/command/test_cli.py
+++ b/tests/command/test_cli.py
@@ -14,7 +14,7 @@
 from pepperlatch.command.service import NoAnswer, Service
 from pepperlatch.pipelines import canonical
 from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
-from tests.pipelines.helpers import described
+from tests.pipelines.helpers import job_description
 from tests.pipelines.test_files import GOOD
 
 Answer = tuple[int, str, Any]
@@ -98,11 +98,11 @@
 
 
 def test_a_job_without_an_id_gets_the_one_that_a_pipeline_gives_it(run: Any, tmp_path: Path) -> None:
-    job = described()
+    job = job_description()
     file = tmp_path / "job.json"
     file.write_bytes(orjson.dumps(job))
     code, out, _, sent = run(taken, "submit", "--node", ONE, "--key", "k", "--output", "json", str(file))
-    assert code == 0 and orjson.loads(out)["name_id"] == canonical.identified(job, "k").id
+    assert code == 0 and orjson.loads(out)["name_id"] == canonical.with_content_id(job, "k").id
     assert sent[0][:3] == (ONE, "POST", "/work") and sent[0][3].keys() - job.keys() == {"name_id"}
     file.write_bytes(orjson.dumps({**job, "name_id": "run-mine"}))
     assert run(taken, "submit", "--node", ONE, str(file))[3][0][3]["name_id"] == "run-mine"
@@ -119,10 +119,10 @@
         return (200, "", {"repeats": ["again"]}) if path == "/pipelines" else taken(addr, method, path, body)
 
     file = tmp_path / "job.json"
-    file.write_bytes(orjson.dumps(described()))
+    file.write_bytes(orjson.dumps(job_description()))
     code, _, err, sent = run(answer, "submit", "--node", ONE, "--again", str(file))
     assert code == 2 and "class x" in err and len(sent) == 1
-    file.write_bytes(orjson.dumps(described(jobclass="again")))
+    file.write_bytes(orjson.dumps(job_description(jobclass="again")))
     ids = [run(answer, "submit", "--node", ONE, "--again", str(file))[3][1][3]["name_id"] for _ in range(2)]
     assert ids[0] != ids[1]
 
--- a/tests/pipelines/helpers.py
+++ b/tests/pipelines/helpers.py
@@ -16,7 +16,7 @@
 PARTS = (lambda core: Pipelines(core, features.Pipelines(on=True, repeats=["again"])),)
 
 
-def described(**changes: Any) -> dict[str, Any]:
+def job_description(**changes: Any) -> dict[str, Any]:
     body = job(0, **changes)
     del body["name_id"]
     return body
@@ -24,7 +24,7 @@
 
 def step(name: str, *needs: str, jobs: list[str] | None = None, repeat: bool = False, **changes: Any) -> Step:
     """Each differs from the others by its image, or they would be one job."""
-    return Step(name, described(**{"bundle": f"img-{name}", **changes}), list(needs), jobs or [], repeat)
+    return Step(name, job_description(**{"bundle": f"img-{name}", **changes}), list(needs), jobs or [], repeat)
 
 
 def chain(length: int, name: str = "billing", key: str = "", **changes: Any) -> Plan:
--- a/tests/pipelines/test_both_paths.py
+++ b/tests/pipelines/test_both_paths.py
@@ -10,7 +10,7 @@
 from pepperlatch.pipelines import plan as plans
 from pepperlatch.pipelines.plan import Plan, Step
 from tests.fakes import FakeTask, Worker, World, reseed, story
-from tests.pipelines.helpers import PARTS, announce, described, insist
+from tests.pipelines.helpers import PARTS, announce, insist, job_description
 
 BEGIN_S = 500.0  # virtual time at which all controllers start anew with all jobs submitted, in both worlds
 
@@ -30,7 +30,7 @@
             "due_s": 900.0 if n % 7 == 0 else None,
         }
         needs = [f"j{n - 1}"] if n % 6 in (1, 2) else []
-        steps.append(Step(f"j{n}", described(**kinds), needs))
+        steps.append(Step(f"j{n}", job_description(**kinds), needs))
     return steps
 
 
@@ -39,7 +39,7 @@
         {"crew": "green"}, {"cores": 64.0}, {"builds": ["x9"]}, {"shape": "group", "pieces": 50}, {"pieces": 0},
         {"cores": -1.0}, {"yard": "q"}, {"memory_gb": 1e12}, {"crew": "blue", "cores": 20.0}, {"shape": "x"},
     ]  # fmt: skip
-    return [described(**change) for change in changes]
+    return [job_description(**change) for change in changes]
 
 
 def decisions(by_file: bool, steps: list[Step]) -> list[Any]:
@@ -88,7 +88,7 @@
             job = dict(held[name].job)
             if held[name].needs:
                 job["prereqs"] = [ids[need] for need in held[name].needs]
-            job["name_id"] = ids[name] = canonical.identified(job).id
+            job["name_id"] = ids[name] = canonical.with_content_id(job).id
             status = 503
             while status == 503:
                 status, _ = await world.ask(1, "POST", "/work", job)
--- a/tests/pipelines/test_files.py
+++ b/tests/pipelines/test_files.py
@@ -18,7 +18,7 @@
 from pepperlatch.pipelines.compile import compile_file
 from pepperlatch.pipelines.document import InvalidFile
 from pepperlatch.protocol import wire
-from tests.pipelines.helpers import described
+from tests.pipelines.helpers import job_description
 
 ROOT = Path(__file__).parents[2]
 GOOD = """name: billing
@@ -181,8 +181,8 @@
 
 def test_the_id_follows_from_what_is_asked_and_from_nothing_else() -> None:
     """The digits are written down: another version must make the same ids, or a job sent to both would run twice."""
-    asked = described(builds=["m8", "g8"], due_s=60)
-    known = canonical.identified(asked, "2026-12").id
+    asked = job_description(builds=["m8", "g8"], due_s=60)
+    known = canonical.with_content_id(asked, "2026-12").id
     form = (
         b'{"again":"","job":{"apart":false,"builds":["g8","m8"],"bundle":"img","cores":2.0,"crew":"red","due_s":60.0,'
         b'"expected_s":10.0,"gpus":0.0,"jobclass":"x","loaners":false,"memory_gb":1.0,"one_zone":false,"pieces":2,'
@@ -196,8 +196,8 @@
         dict(reversed(asked.items())),
         {name: value for name, value in asked.items() if value is not None},
     ]
-    assert {canonical.identified(job, "2026-12").id for job in same} == {known}
+    assert {canonical.with_content_id(job, "2026-12").id for job in same} == {known}
     others = [{**asked, "cores": 3.0}, {**asked, "builds": None}, {**asked, "urgency": "low"}, {**asked, "due_s": None}]
-    ids = {canonical.identified(job, "2026-12").id for job in others}
-    ids |= {canonical.identified(asked).id, canonical.identified(asked, "2026-12", "a").id}
+    ids = {canonical.with_content_id(job, "2026-12").id for job in others}
+    ids |= {canonical.with_content_id(asked).id, canonical.identified(asked, "2026-12", "a").id}
     assert len(ids) == 6 and known not in ids
