--- a/pepperlatch/command/serve.py
+++ b/pepperlatch/command/serve.py
@@ -43,9 +43,9 @@
     """What is switched on; the rest is not even imported."""
     parts: list[Callable[[ExtensionContext], Extension]] = []
     if wanted.pipelines.on:
-        from pepperlatch.pipelines.part import Pipelines
+        from pepperlatch.pipelines.extension import PipelinesExtension
 
-        parts.append(lambda core: Pipelines(core, wanted.pipelines))
+        parts.append(lambda core: PipelinesExtension(core, wanted.pipelines))
     if wanted.console.on:
         from pepperlatch.console.part import Console
 
--- a/pepperlatch/pipelines/part.py
+++ b/pepperlatch/pipelines/extension.py
@@ -21,7 +21,7 @@
     from pepperlatch.pipelines.service import Service
 
 
-class Pipelines(Extension):
+class PipelinesExtension(Extension):
     name = "pipelines"
     prefix = keys.PREFIX
     paths: Sequence[str] = ("/pipelines", "/schedules")
--- a/tests/pipelines/helpers.py
+++ b/tests/pipelines/helpers.py
@@ -8,12 +8,12 @@
 
 from pepperlatch import features
 from pepperlatch.pipelines import plan as plans
-from pepperlatch.pipelines.part import Pipelines
+from pepperlatch.pipelines.extension import PipelinesExtension
 from pepperlatch.pipelines.plan import Plan, Step
 from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
 from tests.fakes import World, job
 
-PARTS = (lambda core: Pipelines(core, features.Pipelines(on=True, repeats=["again"])),)
+PARTS = (lambda core: PipelinesExtension(core, features.Pipelines(on=True, repeats=["again"])),)
 
 
 def job_description(**changes: Any) -> dict[str, Any]:
