--- a/tests/pipelines/test_files.py
+++ b/tests/pipelines/test_files.py
@@ -152,7 +152,7 @@
     except InvalidFile as error:
         assert error.mistakes and all(m.place.line >= 1 and m.place.column >= 1 and m.text for m in error.mistakes)
         return None
-    assert plans.problems(plan) == []
+    assert plans.find_problems(plan) == []
     for spec in plans.job_specs(plan).values():
         check_job(wire.to_plain(spec))  # the core refuses none of them as malformed
     assert plans.unpack(plans.pack(plan)) == plan
@@ -199,5 +199,5 @@
     assert {canonical.with_content_id(job, "2026-12").id for job in same} == {known}
     others = [{**asked, "cores": 3.0}, {**asked, "builds": None}, {**asked, "urgency": "low"}, {**asked, "due_s": None}]
     ids = {canonical.with_content_id(job, "2026-12").id for job in others}
-    ids |= {canonical.with_content_id(asked).id, canonical.identified(asked, "2026-12", "a").id}
+    ids |= {canonical.with_content_id(asked).id, canonical.with_content_id(asked, "2026-12", "a").id}
     assert len(ids) == 6 and known not in ids
