--- a/pepperlatch/pipelines/model.py
+++ b/pepperlatch/pipelines/model.py
@@ -1,4 +1,7 @@
-"""The pipeline file's schema: what may stand where, in which bounds. Published for editors by `schema`."""
+"""The schema of a pipeline file: its fields with types and bounds. `schema` publishes it for editors.
+
+Docstrings and descriptions of the models, and the models' names, are part of the published schema.
+"""
 
 import re
 from typing import Annotated, Any, Literal
@@ -8,20 +11,22 @@
 from pepperlatch.constants import core
 from pepperlatch.constants import pipelines as c
 
-_UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "min": 60.0, "h": 3600.0, "d": 86400.0}
+_UNIT_SECONDS = {"ms": 0.001, "s": 1.0, "m": 60.0, "min": 60.0, "h": 3600.0, "d": 86400.0}
 _DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?) ?(ms|s|min|m|h|d)")
 
 
-def _seconds(value: Any) -> Any:
+def _parse_seconds(value: Any) -> Any:
+    """A text such as "15min" as a number of seconds; other values as they are. Raises ValueError on other texts."""
     if not isinstance(value, str):
         return value
     parts = _DURATION.fullmatch(value)
     if parts is None:
         raise ValueError('a time is a number of seconds, or one with a unit: "90 s", "15min", "2h", "1d"')
-    return float(parts[1]) * _UNITS[parts[2]]
+    return float(parts[1]) * _UNIT_SECONDS[parts[2]]
 
 
-def _listed(value: Any) -> Any:
+def _as_list(value: Any) -> Any:
+    """A single text as a list of one; other values as they are."""
     return [value] if isinstance(value, str) else value
 
 
@@ -32,19 +37,20 @@
 Amount = Annotated[float, Field(ge=0, le=core.MAX_AMOUNT, allow_inf_nan=False)]
 Seconds = Annotated[
     Amount,
-    BeforeValidator(_seconds),
+    BeforeValidator(_parse_seconds),
     WithJsonSchema(
         {"anyOf": [{"type": "number", "minimum": 0}, {"type": "string", "pattern": f"^{_DURATION.pattern}$"}]}
     ),
 ]
-Words = Annotated[
+TextOrList = Annotated[
     list[Text],
-    BeforeValidator(_listed),
+    BeforeValidator(_as_list),
     WithJsonSchema({"anyOf": [{"type": "string"}, {"type": "array", "items": {"type": "string"}}]}),
 ]
-Value = str | int | float | bool
+MatrixValue = str | int | float | bool
 
 
+# Base of the models: unknown fields are errors, and values are not converted to other types.
 class _Strict(BaseModel):
     model_config = ConfigDict(extra="forbid", strict=True, populate_by_name=True)
 
@@ -63,7 +69,7 @@
     memory_gb: Amount | None = Field(None, description="GB, of each task")
     image: Text | None = Field(None, description="what a machine must have before a task starts")
     image_gb: Amount | None = Field(None, description="GB to fetch")
-    types: Words | None = Field(None, description="machine types that are allowed; any")
+    types: TextOrList | None = Field(None, description="machine types that are allowed; any")
     zone: Text | None = Field(None, description="the only allowed zone; any")
     one_zone: bool | None = Field(None, description="all tasks in the same zone")
     spread: bool | None = Field(None, description="at most half of the tasks, rounded up, in one zone")
@@ -76,10 +82,10 @@
 
 class Step(Shared):
     name: Name
-    needs: Words = Field([], description="steps that have to be done before")
-    after_jobs: Words = Field([], description="ids of other jobs that have to be done before")
+    needs: TextOrList = Field([], description="steps that have to be done before")
+    after_jobs: TextOrList = Field([], description="ids of other jobs that have to be done before")
     deadline: Seconds | None = Field(None, description="after the run's start")
-    matrix: dict[Name, Annotated[list[Value], Field(min_length=1)]] | None = Field(
+    matrix: dict[Name, Annotated[list[MatrixValue], Field(min_length=1)]] | None = Field(
         None, description="a step for each combination; {name} in image, zone and types stands for its value"
     )
     repeat: bool = Field(False, description="runs anew in every run; its class must be allowed to")
--- a/pepperlatch/pipelines/plan.py
+++ b/pepperlatch/pipelines/plan.py
@@ -40,7 +40,7 @@
 
 
 class Plan(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True):
-    """The steps of one run of a pipeline. `key` distinguishes the runs of a pipeline, `attempt` counts reruns from 1."""
+    """The steps of one run of a pipeline. `key` distinguishes the runs of a pipeline, `attempt` counts from 1."""
 
     name: str
     steps: list[Step]
--- a/tests/pipelines/test_files.py
+++ b/tests/pipelines/test_files.py
@@ -150,7 +150,9 @@
     try:
         plan = compile_file(data).plan
     except InvalidFile as error:
-        assert error.mistakes and all(m.place.line >= 1 and m.place.column >= 1 and m.text for m in error.mistakes)
+        assert error.mistakes and all(
+            m.position.line >= 1 and m.position.column >= 1 and m.text for m in error.mistakes
+        )
         return None
     assert plans.find_problems(plan) == []
     for spec in plans.job_specs(plan).values():
