--- a/tests/command/test_cli.py
+++ b/tests/command/test_cli.py
@@ -15,7 +15,7 @@
 from pepperlatch.pipelines import canonical
 from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
 from tests.pipelines.helpers import job_description
-from tests.pipelines.test_files import GOOD
+from tests.pipelines.test_files import VALID_FILE
 
 Answer = tuple[int, str, Any]
 ONE, TWO = "10.0.0.1:1", "10.0.0.2:1"
@@ -141,7 +141,7 @@
 
 def test_a_pipeline_is_planned_here_and_sent_whole(run: Any, tmp_path: Path) -> None:
     file = tmp_path / "billing.yaml"
-    file.write_text(GOOD, "utf-8")
+    file.write_text(VALID_FILE, "utf-8")
 
     def answer(addr: str, method: str, path: str, body: Any) -> Answer:
         if method == "PUT":
@@ -159,7 +159,7 @@
 
     code, _, err, _ = run(differs, "pipeline", "run", "--node", ONE, str(file))
     assert code == 1 and "step 'a' is new" in err
-    file.write_text(GOOD.replace("steps:", "stepps:"), "utf-8")
+    file.write_text(VALID_FILE.replace("steps:", "stepps:"), "utf-8")
     code, out, err, sent = run(answer, "pipeline", "run", "--node", ONE, str(file))
     assert code == 2 and not sent and not out and "did you mean 'steps'" in err
 
--- a/tests/pipelines/test_files.py
+++ b/tests/pipelines/test_files.py
@@ -21,7 +21,7 @@
 from tests.pipelines.helpers import job_description
 
 ROOT = Path(__file__).parents[2]
-GOOD = """name: billing
+VALID_FILE = """name: billing
 team: red
 deadline: 10min
 defaults: {class: x, cpus: 2, memory_gb: 1, estimate: 10 s}
@@ -42,7 +42,7 @@
 
 
 def test_a_file_becomes_jobs_with_one_deadline_and_time_to_spare() -> None:
-    plan = compile_file(GOOD.encode()).plan
+    plan = compile_file(VALID_FILE.encode()).plan
     assert [step.name for step in plan.steps] == ["collect", "render-ann", "render-james", "send"]
     named = plans.job_specs(plan)
     assert [spec.deadline_s for spec in named.values()] == [None, None, None, 600.0]
@@ -87,21 +87,21 @@
          "f:2:41: schedule.timezone: 'Asia/Aman' is no zone of the tz database, such as 'Asia/Amman' or 'UTC'"),
         (lambda t: t.replace("red", "é").encode("latin-1"), "f:2:7: not UTF-8 text"),
         (lambda t: "a: " + "[" * 300, "f:1:27: nested more than 24 deep"),
-        (lambda t: t + "#" * c.MAX_FILE_BYTES, f"f:1:1: the file has {len(GOOD) + c.MAX_FILE_BYTES} bytes"),
+        (lambda t: t + "#" * c.MAX_FILE_BYTES, f"f:1:1: the file has {len(VALID_FILE) + c.MAX_FILE_BYTES} bytes"),
         (lambda t: "a: &a [1,1,1,1,1,1,1,1,1,1]\n" + "".join(
             f"{chr(98 + n)}: &{chr(98 + n)} [{','.join(['*' + chr(97 + n)] * 10)}]\n" for n in range(9)),
          "more than 200000 values once aliases are written out"),
     ],
 )  # fmt: skip
 def test_a_file_with_a_mistake_is_refused_whole_with_its_place(change: Callable[[str], Any], line: str) -> None:
-    found = mistakes(change(GOOD))
+    found = mistakes(change(VALID_FILE))
     assert line in found[0]
 
 
 def test_every_mistake_of_a_file_is_listed_in_order() -> None:
-    text = GOOD.replace("needs: collect", "needs: colect").replace("{parish}", "{perish}").replace("send}", "x}")
+    text = VALID_FILE.replace("needs: collect", "needs: colect").replace("{parish}", "{perish}").replace("send}", "x}")
     assert [line.split(" ")[0] for line in mistakes(text)] == ["f:8:12:", "f:9:12:"]
-    text = GOOD.replace("team:", "teem:").replace("estimate", "estimat").replace("matrix", "matrx")
+    text = VALID_FILE.replace("team:", "teem:").replace("estimate", "estimat").replace("matrix", "matrx")
     assert [line.split(" ")[0] for line in mistakes(text)] == ["f:2:1:", "f:4:45:", "f:10:5:"]
 
 
