--- a/pepperlatch/pipelines/compile.py
+++ b/pepperlatch/pipelines/compile.py
@@ -240,6 +240,5 @@
 
 def _expanded_name(step: model.Step, values: dict[str, Any]) -> str:
     """The name of an expanded step, for example `render-St.-Ann` for `render` with the value `St. Ann`."""
-
     suffixes = [_INVALID_NAME_CHARS.sub("-", str(value)).strip("-._") or "none" for value in values.values()]
     return "-".join([step.name, *suffixes])
--- a/pepperlatch/pipelines/extension.py
+++ b/pepperlatch/pipelines/extension.py
@@ -79,7 +79,6 @@
                     self._service().resume_runs(found & pending_before)
                     await self._service().run_due(pairs)
                 pending_before = found
-
             except (NotExecuted, OutcomeUnknown):
                 pass
             await trio.sleep(c.RUN_SCAN_INTERVAL_S)
--- a/pepperlatch/pipelines/schedules.py
+++ b/pepperlatch/pipelines/schedules.py
@@ -104,7 +104,6 @@
     `version`: of the record that it replaces, 0 if there is none; `old_pieces`: number of that one's pieces.
     `value_kb`: the state service's limit of a value in KiB.
     """
-
     pieces = store.split_text(packed, int(value_kb * 1024) - core.VALUE_OVERHEAD_BYTES)
     record = msgspec.structs.replace(record, pieces=len(pieces))
     writes = [wire.put(SCHEDULE + name, wire.to_plain(record))]
--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -39,7 +39,7 @@
     """A run as read from the state service: its record, the version of its key, its plan and its jobs by step name."""
 
     run_name: str
-    run: RunRecord
+    record: RunRecord
     version: int
     plan: Plan
     specs: dict[str, wire.JobSpec]
@@ -149,7 +149,7 @@
             log.info(
                 "pipeline run %s: received a plan of %d steps, the run is recorded", plan.run_name, len(plan.steps)
             )
-        if loaded.run.digest != digest:
+        if loaded.record.digest != digest:
             differs = plans.differences(loaded.plan, plan)
             return Response(409, {"error": "this run was sent before with other content", "differs": differs})
         return await self._answer_when_settled(loaded)
@@ -202,18 +202,17 @@
 
     async def _answer_when_settled(self, loaded: LoadedRun) -> Response:
         """The answer once all jobs are created or the run is withdrawn; 202 if that takes over SUBMIT_TIMEOUT_S."""
-
-        if loaded.run.phase in runs.PENDING_PHASES:
+        if loaded.record.phase in runs.PENDING_PHASES:
             finished = self.advance(loaded.run_name)
             with trio.move_on_after(core.SUBMIT_TIMEOUT_S):
                 await finished.wait()
                 loaded = await self._load_run(loaded.run_name) or loaded
-        answer = {"run": loaded.run_name, "phase": loaded.run.phase.value, "steps": len(loaded.specs)}
-        if loaded.run.reason:
-            answer["reason"] = loaded.run.reason
-        if loaded.run.phase in runs.PENDING_PHASES:
+        answer = {"run": loaded.run_name, "phase": loaded.record.phase.value, "steps": len(loaded.specs)}
+        if loaded.record.reason:
+            answer["reason"] = loaded.record.reason
+        if loaded.record.phase in runs.PENDING_PHASES:
             return Response(202, answer, {"Retry-After": str(core.RETRY_AFTER_S)})
-        return Response(422 if loaded.run.phase is Phase.REFUSED else 200, answer)
+        return Response(422 if loaded.record.phase is Phase.REFUSED else 200, answer)
 
     async def _show_run(self, run_name: str, after: str) -> Response:
         """One page of a run's steps; `after` is the number of the first step, as the page before gave it in `next`."""
@@ -224,9 +223,13 @@
         names = list(loaded.specs)
         begin = int(after) if after.isdigit() else 0
         rows = [self._step_row(loaded, name) for name in names[begin : begin + c.STEPS_PER_PAGE]]
-        answer: dict[str, Any] = {"run": run_name, "status": self._run_status(loaded), "phase": loaded.run.phase.value}
-        if loaded.run.reason:
-            answer["reason"] = loaded.run.reason
+        answer: dict[str, Any] = {
+            "run": run_name,
+            "status": self._run_status(loaded),
+            "phase": loaded.record.phase.value,
+        }
+        if loaded.record.reason:
+            answer["reason"] = loaded.record.reason
         answer["total"] = len(names)
         answer["rows"] = rows
         if begin + c.STEPS_PER_PAGE < len(names):
@@ -242,8 +245,8 @@
 
     def _run_status(self, loaded: LoadedRun) -> str:
         """The run's phase while not all jobs are created, else the state that its jobs have together."""
-        if loaded.run.phase is not Phase.SENT:
-            return str(loaded.run.phase.value)
+        if loaded.record.phase is not Phase.SENT:
+            return str(loaded.record.phase.value)
         jobs = self._core.watcher.replica.jobs
         states = [jobs[spec.id].state for spec in loaded.specs.values() if spec.id in jobs]
         if any(state is wire.JobState.CANCELLED for state in states):
@@ -255,8 +258,8 @@
         loaded = await self._load_run(run_name)
         if loaded is None:
             return Response(404, {"error": "no such run"})
-        if loaded.run.phase in (Phase.OPEN, Phase.SENT):
-            outcome = await self.commit(runs.change_phase(run_name, loaded.run, loaded.version, Phase.CANCELLING))
+        if loaded.record.phase in (Phase.OPEN, Phase.SENT):
+            outcome = await self.commit(runs.change_phase(run_name, loaded.record, loaded.version, Phase.CANCELLING))
             if not outcome.applied:
                 return retry_later()
             loaded = await self._load_run(run_name) or loaded
@@ -285,8 +288,8 @@
 
     def _rerun_problems(self, loaded: LoadedRun, plan: Plan) -> list[dict[str, str]]:
         """Why the next attempt `plan` of a run cannot start now; empty if it can."""
-        if loaded.run.phase in runs.PENDING_PHASES:
-            return [{"error": f"the run is {loaded.run.phase.value}; wait until that is over"}]
+        if loaded.record.phase in runs.PENDING_PHASES:
+            return [{"error": f"the run is {loaded.record.phase.value}; wait until that is over"}]
         found = []
         for step in plan.steps:
             spec = loaded.specs[step.name]
@@ -312,7 +315,7 @@
         Raises NotExecuted if too many reads wait already, so that polls of runs don't crowd out polls of jobs.
         """
         if self._read_limiter.statistics().tasks_waiting >= c.MAX_WAITING_RUN_READS:
-            raise NotExecuted("too many look at runs")
+            raise NotExecuted("too many reads of runs are waiting")
         async with self._read_limiter:
             pair = await self._state.read(keys.RUN + run_name) if plans.RUN_NAME.fullmatch(run_name) else None
             if pair is None:
@@ -341,7 +344,7 @@
     def advance(self, run_name: str) -> trio.Event:
         """Advance the run in the background, once at a time on this node.
 
-        The event is set when that has ended: no job is left to create or cancel, or it failed.
+        The event is set when that has ended: the run is in no pending phase, does not exist, or an error was logged.
         """
         finished = self._advancing.get(run_name)
         if finished is None:
@@ -357,8 +360,8 @@
         try:
             while (
                 loaded := await self._retry_until_answered(self._load_run, run_name)
-            ) is not None and loaded.run.phase in runs.PENDING_PHASES:
-                step = self._create_jobs if loaded.run.phase is Phase.OPEN else self._cancel_jobs
+            ) is not None and loaded.record.phase in runs.PENDING_PHASES:
+                step = self._create_jobs if loaded.record.phase is Phase.OPEN else self._cancel_jobs
                 await self._retry_until_answered(step, loaded)
         except Exception:
             log.exception("pipeline run %s failed on this node, the leader resumes it while it is unfinished", run_name)
@@ -402,7 +405,7 @@
             if len(existing) > 1 and outcome.failed:
                 await trio.sleep(c.OTHER_CREATOR_WAIT_S)  # another node creates them: let it, but check again later
                 return
-        await self.commit(runs.change_phase(loaded.run_name, loaded.run, loaded.version, Phase.SENT))
+        await self.commit(runs.change_phase(loaded.run_name, loaded.record, loaded.version, Phase.SENT))
 
     async def _create_next_batch(self, loaded: LoadedRun, missing: list[wire.JobSpec]) -> Outcome | None:
         """Create the next batch of jobs.
@@ -411,7 +414,7 @@
         """
         max_changes = self._state.max_background_changes()
         transaction = runs.create_jobs(
-            loaded.run_name, loaded.version, missing, loaded.run.at, self._limits, max_changes
+            loaded.run_name, loaded.version, missing, loaded.record.at, self._limits, max_changes
         )
         refused = next(
             ((spec, why) for spec in missing[: len(transaction.job_ids)] if (why := self._job_error(spec))), None
@@ -422,7 +425,7 @@
                 return await self.commit(transaction)
             except Rejected as error:  # no retry would be accepted, so the run must not stay open forever
                 reason = str(error)
-        await self.commit(runs.change_phase(loaded.run_name, loaded.run, loaded.version, Phase.REFUSING, reason))
+        await self.commit(runs.change_phase(loaded.run_name, loaded.record, loaded.version, Phase.REFUSING, reason))
         return None
 
     async def _cancel_jobs(self, loaded: LoadedRun) -> None:
@@ -435,18 +438,18 @@
             entry = self._core.watcher.replica.jobs.get(spec.id)
             if entry is None or entry.state in wire.FINAL_JOB_STATES:
                 continue
-            if loaded.run.phase is Phase.REFUSING and entry.record.run != loaded.run_name:
+            if loaded.record.phase is Phase.REFUSING and entry.record.run != loaded.run_name:
                 continue
             if (await self._core.users.cancel(spec.id)).status != 200:
                 raise NotExecuted(f"{spec.id} cannot be cancelled now")
         await self.commit(
             runs.change_phase(
-                loaded.run_name, loaded.run, loaded.version, runs.PHASE_AFTER_CANCELLATION[loaded.run.phase]
+                loaded.run_name, loaded.record, loaded.version, runs.PHASE_AFTER_CANCELLATION[loaded.record.phase]
             )
         )
 
     async def wait_for_write_budget(self, changes: int) -> None:
-        """Wait until so many background writes may be made, or the most that one transaction may have.
+        """Wait until this node may make `changes` background writes, or as many as one background write may have.
 
         The rest of the write budget is kept for users who submit single jobs.
         """
--- a/tests/pipelines/test_files.py
+++ b/tests/pipelines/test_files.py
@@ -165,13 +165,13 @@
 
 @seeded
 @given(st.one_of(st.binary(max_size=60), st.text(":-[]{}&*!a1 \n\"'#|>%@`,?", max_size=60).map(str.encode)))
-def test_arbitrary_bytes_are_planned_or_refused_with_positions(data: bytes) -> None:
+def test_any_bytes_are_planned_or_refused_with_a_place(data: bytes) -> None:
     planned_or_refused(data)
 
 
 @seeded
 @given(files, st.integers(0, 2**32))
-def test_order_and_format_of_a_file_do_not_change_its_plan(file: dict[str, Any], seed: int) -> None:
+def test_any_file_is_planned_or_refused_and_order_and_format_change_nothing(file: dict[str, Any], seed: int) -> None:
     plan = planned_or_refused(yaml.safe_dump(file, sort_keys=False).encode())
     shuffled = {**file, "steps": random.Random(seed).sample(file["steps"], len(file["steps"]))}
     other = planned_or_refused(yaml.safe_dump(shuffled, sort_keys=True, default_flow_style=True).encode())
--- a/tests/pipelines/test_runs.py
+++ b/tests/pipelines/test_runs.py
@@ -231,11 +231,8 @@
 
 def test_run_survives_an_outage_and_lowered_limits_of_the_state_service() -> None:
     async def scenario(world: World) -> None:
-        world.state.limits = {
-            "write_rps": 12.0,
-            "value_kb": 2.0,
-            "txn_ops": 10,
-        }  # the rate is far below the nodes' settings
+        # The rate is far below the nodes' settings.
+        world.state.limits = {"write_rps": 12.0, "value_kb": 2.0, "txn_ops": 10}
         plan = chain_plan(20, expected_s=0.5, pieces=1)
         ids = register_jobs(world, plan)
 
@@ -266,9 +263,8 @@
                 nursery.start_soon(put_with_retries, world, plan)
             for number in range(15):
                 at = trio.current_time()
-                assert (await world.submit(job(number), 0))[
-                    0
-                ] == 201  # to the node that also creates the jobs of all runs
+                # This node also creates the jobs of all runs.
+                assert (await world.submit(job(number), 0))[0] == 201
                 waits.append(trio.current_time() - at)
                 await trio.sleep(0.3)
         assert max(waits) < 0.1
@@ -304,12 +300,12 @@
     async def scenario(world: World) -> None:
         plan = chain_plan(40, expected_s=30.0, pieces=1)
         register_jobs(world, plan)
-        killed_node = next(n for n in world.nodes if n != world.leader())
+        cut_off_node = next(n for n in world.nodes if n != world.leader())
         late: list[str] = []
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(put_and_die, world, plan, killed_node)
+            nursery.start_soon(put_and_die, world, plan, cut_off_node)
             await world.until(lambda: len(jobs_stored(world)) > 3, 10)
-            world.cut(f"perch-{killed_node}", "state", "hold", both=False)
+            world.cut(f"perch-{cut_off_node}", "state", "hold", both=False)
             await trio.sleep(1.0)  # its next batch is in flight now
             status = 202
             while status in (202, 503):
--- a/tests/pipelines/test_schedules.py
+++ b/tests/pipelines/test_schedules.py
@@ -127,8 +127,8 @@
             plan = Plan(name, [step(name, pieces=1, expected_s=1.0)])
             for minute in range(60):
                 register_jobs(world, Plan(name, plan.steps, schedules.run_key(BEGIN_S + 60.0 * minute)))
-            asked = {"cron": "*/10 * * * *", "timezone": "Asia/Amman", "missed": name}
-            body = {"plan": plans.pack(plan), "schedule": asked}
+            schedule = {"cron": "*/10 * * * *", "timezone": "Asia/Amman", "missed": name}
+            body = {"plan": plans.pack(plan), "schedule": schedule}
             assert (await world.ask(0, "PUT", f"/schedules/{name}", body))[0] == 200
         for index in list(world.nodes):
             world.kill(index)
