--- a/tests/pipelines/helpers.py
+++ b/tests/pipelines/helpers.py
@@ -78,7 +78,7 @@
     return answer
 
 
-def jobs_stored(world: World) -> list[str]:
+def stored_job_ids(world: World) -> list[str]:
     return [key[len("j/job/") :] for key in world.state.keys if key.startswith("j/job/")]
 
 
--- a/tests/pipelines/measure.py
+++ b/tests/pipelines/measure.py
@@ -15,7 +15,7 @@
 from pepperlatch.pipelines import plan as plans
 from pepperlatch.pipelines.compile import compile_file
 from tests.fakes import World, job, story
-from tests.pipelines.helpers import EXTENSIONS, chain_plan, jobs_stored, put_with_retries, register_jobs
+from tests.pipelines.helpers import EXTENSIONS, chain_plan, put_with_retries, register_jobs, stored_job_ids
 
 RUNS, STEPS, SECONDS = 100, 20, 60
 
@@ -71,7 +71,7 @@
                     status, _ = await world.submit(job(number), number % 3)
                 waits.append(trio.current_time() - at)
                 await trio.sleep(max(0.0, at + 1.0 - trio.current_time()))
-        assert len(jobs_stored(world)) == SECONDS + (RUNS * STEPS if crowd else 0)
+        assert len(stored_job_ids(world)) == SECONDS + (RUNS * STEPS if crowd else 0)
 
     async def one_run(world: World, number: int, began: float) -> None:
         plan = chain_plan(STEPS, f"run{number}", memory_gb=1.0 + number / 1024)
--- a/tests/pipelines/test_both_paths.py
+++ b/tests/pipelines/test_both_paths.py
@@ -83,12 +83,12 @@
         assert (await put_with_retries(world, plan, 1, 400))[0] == 200
 
     async def send_by_command(world: World, plan: Plan) -> None:
-        held = {step.name: step for step in plan.steps}
+        steps_by_name = {step.name: step for step in plan.steps}
         ids: dict[str, str] = {}
         for name in plans.job_specs(plan):
-            job = dict(held[name].job)
-            if held[name].needs:
-                job["prereqs"] = [ids[need] for need in held[name].needs]
+            job = dict(steps_by_name[name].job)
+            if steps_by_name[name].needs:
+                job["prereqs"] = [ids[need] for need in steps_by_name[name].needs]
             job["name_id"] = ids[name] = canonical.with_content_id(job).id
             status = 503
             while status == 503:
--- a/tests/pipelines/test_files.py
+++ b/tests/pipelines/test_files.py
@@ -185,8 +185,8 @@
 
 def test_job_id_depends_on_the_content_alone() -> None:
     """The expected id is a literal: if versions computed different ids, a job sent to two versions would run twice."""
-    asked = job_description(builds=["m8", "g8"], due_s=60)
-    known = canonical.with_content_id(asked, "2026-12").id
+    description = job_description(builds=["m8", "g8"], due_s=60)
+    known = canonical.with_content_id(description, "2026-12").id
     form = (
         b'{"again":"","job":{"apart":false,"builds":["g8","m8"],"bundle":"img","cores":2.0,"crew":"red","due_s":60.0,'
         b'"expected_s":10.0,"gpus":0.0,"jobclass":"x","loaners":false,"memory_gb":1.0,"one_zone":false,"pieces":2,'
@@ -195,13 +195,18 @@
     )
     assert known == "run-" + hashlib.sha256(form).hexdigest()[:40] == "run-0e48c1923d6c96a3982557186d101917bfd1f050"
     same = [
-        {**asked, "builds": ["g8", "m8", "g8"]},
-        {**asked, "cores": 2, "due_s": 60.0, "unknown": 1},
-        dict(reversed(asked.items())),
-        {name: value for name, value in asked.items() if value is not None},
+        {**description, "builds": ["g8", "m8", "g8"]},
+        {**description, "cores": 2, "due_s": 60.0, "unknown": 1},
+        dict(reversed(description.items())),
+        {name: value for name, value in description.items() if value is not None},
     ]
     assert {canonical.with_content_id(job, "2026-12").id for job in same} == {known}
-    others = [{**asked, "cores": 3.0}, {**asked, "builds": None}, {**asked, "urgency": "low"}, {**asked, "due_s": None}]
+    others = [
+        {**description, "cores": 3.0},
+        {**description, "builds": None},
+        {**description, "urgency": "low"},
+        {**description, "due_s": None},
+    ]
     ids = {canonical.with_content_id(job, "2026-12").id for job in others}
-    ids |= {canonical.with_content_id(asked).id, canonical.with_content_id(asked, "2026-12", "a").id}
+    ids |= {canonical.with_content_id(description).id, canonical.with_content_id(description, "2026-12", "a").id}
     assert len(ids) == 6 and known not in ids
--- a/tests/pipelines/test_runs.py
+++ b/tests/pipelines/test_runs.py
@@ -15,12 +15,12 @@
     EXTENSIONS,
     chain_plan,
     get_run,
-    jobs_stored,
     put_plan,
     put_with_retries,
     register_jobs,
     run_before_write,
     step,
+    stored_job_ids,
     wait_for_status,
 )
 
@@ -31,7 +31,7 @@
         register_jobs(world, plan)
         assert (await put_plan(world, plan))[0] == 200
         assert (await wait_for_status(world, "billing", "done"))["total"] == 3
-        assert (await put_plan(world, plan))[0] == 200 and len(jobs_stored(world)) == 3
+        assert (await put_plan(world, plan))[0] == 200 and len(stored_job_ids(world)) == 3
         assert not [key for key in world.state.keys if key.startswith("p/todo/")]
 
     story(scenario, parts=EXTENSIONS)
@@ -80,7 +80,7 @@
         assert answers["file"][0] == 200
         assert answers["command"][0] in (200, 201)
         await wait_for_status(world, plan.run_name, "done")
-        assert sorted(jobs_stored(world)) == sorted(ids.values())
+        assert sorted(stored_job_ids(world)) == sorted(ids.values())
         assert world.observer.starts[ids["s0"]] == 2  # two tasks, once each
 
     story(scenario, parts=EXTENSIONS)
@@ -107,23 +107,23 @@
 
             world.lose_answer = lose
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(put_and_die, world, plan, killed_node)
+                nursery.start_soon(put_ignoring_lost_answer, world, plan, killed_node)
                 await trio.sleep(6.0)
                 nursery.cancel_scope.cancel()
             world.lose_answer = lambda source, path, body: False
             if killed_node not in world.nodes:
                 world.start(killed_node)
             await trio.sleep(15.0)
-            stored = set(jobs_stored(world)) & set(ids.values())
+            stored = set(stored_job_ids(world)) & set(ids.values())
             assert stored in (set(), set(ids.values())), f"half a run after {failing_txn} transactions"
             assert (await put_with_retries(world, plan))[0] == 200
-            assert set(ids.values()) <= set(jobs_stored(world))
+            assert set(ids.values()) <= set(stored_job_ids(world))
         await wait_for_status(world, plan.run_name, "done", 200)
 
     story(scenario, parts=EXTENSIONS)
 
 
-async def put_and_die(world: World, plan: Plan, index: int) -> None:
+async def put_ignoring_lost_answer(world: World, plan: Plan, index: int) -> None:
     with contextlib.suppress(NotSent, NoUsableResponse):
         await put_plan(world, plan, index)
 
@@ -133,16 +133,16 @@
         plan = chain_plan(60, expected_s=0.5, pieces=1)
         ids = register_jobs(world, plan)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(put_and_die, world, plan, 0)
-            await world.until(lambda: 5 < len(jobs_stored(world)) < 60, 10)
+            nursery.start_soon(put_ignoring_lost_answer, world, plan, 0)
+            await world.until(lambda: 5 < len(stored_job_ids(world)) < 60, 10)
             for index in list(world.nodes):
                 world.kill(index)
             nursery.cancel_scope.cancel()
         for index in range(3):
             world.start(index)
-        await world.until(lambda: len(jobs_stored(world)) == 60, 40)  # no user retries: the leader resumes the run
+        await world.until(lambda: len(stored_job_ids(world)) == 60, 40)  # no user retries: the leader resumes the run
         assert (await put_with_retries(world, plan))[0] == 200
-        assert sorted(jobs_stored(world)) == sorted(ids.values())
+        assert sorted(stored_job_ids(world)) == sorted(ids.values())
 
     story(scenario, parts=EXTENSIONS)
 
@@ -152,17 +152,17 @@
         plan = chain_plan(40, expected_s=30.0, pieces=1)
         ids = register_jobs(world, plan)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(put_and_die, world, plan, 0)
-            await world.until(lambda: len(jobs_stored(world)) > 3, 10)
+            nursery.start_soon(put_ignoring_lost_answer, world, plan, 0)
+            await world.until(lambda: len(stored_job_ids(world)) > 3, 10)
             status = 202
             while status in (202, 503):
                 status, answer = await world.ask(1, "POST", "/pipelines/billing/cancel")
             assert (status, answer["phase"]) == (200, "cancelled")
-            for job_id in set(jobs_stored(world)) & set(ids.values()):
+            for job_id in set(stored_job_ids(world)) & set(ids.values()):
                 world.observer.cancelled[job_id] = trio.current_time()
-        there = len(jobs_stored(world))
+        created_before = len(stored_job_ids(world))
         await trio.sleep(20)
-        assert len(jobs_stored(world)) == there < 40
+        assert len(stored_job_ids(world)) == created_before < 40
         rows = (await get_run(world, "billing"))["rows"]
         assert {row["status"] for row in rows} == {"withdrawn", "not sent"}
         assert (await put_plan(world, plan))[1]["phase"] == "cancelled"
@@ -177,8 +177,8 @@
         alone = msgspec.to_builtins(plans.job_specs(plan)["s0"])
         assert (await world.submit(alone))[0] == 201  # another user's job, submitted before the run
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(put_and_die, world, plan, 0)
-            await world.until(lambda: len(jobs_stored(world)) > 3, 10)
+            nursery.start_soon(put_ignoring_lost_answer, world, plan, 0)
+            await world.until(lambda: len(stored_job_ids(world)) > 3, 10)
             for node in world.nodes.values():  # the teams' limits are lowered in the settings meanwhile
                 node.settings.params.teams[0].cpus_max = 1.0
         status, answer = await put_with_retries(world, plan)
@@ -245,7 +245,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(outage)
             assert (await put_with_retries(world, plan, seconds=90))[0] == 200
-        assert sorted(jobs_stored(world)) == sorted(ids.values())
+        assert sorted(stored_job_ids(world)) == sorted(ids.values())
 
     story(scenario, parts=EXTENSIONS, after="txn_ops = 10\nvalue_kb = 2.0")
 
@@ -268,7 +268,7 @@
                 waits.append(trio.current_time() - at)
                 await trio.sleep(0.3)
         assert max(waits) < 0.1
-        assert len(jobs_stored(world)) == 115
+        assert len(stored_job_ids(world)) == 115
 
     story(scenario, parts=EXTENSIONS, write_rps=40.0)
 
@@ -303,15 +303,15 @@
         cut_off_node = next(n for n in world.nodes if n != world.leader())
         late: list[str] = []
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(put_and_die, world, plan, cut_off_node)
-            await world.until(lambda: len(jobs_stored(world)) > 3, 10)
+            nursery.start_soon(put_ignoring_lost_answer, world, plan, cut_off_node)
+            await world.until(lambda: len(stored_job_ids(world)) > 3, 10)
             world.cut(f"perch-{cut_off_node}", "state", "hold", both=False)
             await trio.sleep(1.0)  # its next batch is in flight now
             status = 202
             while status in (202, 503):
                 status, _ = await world.ask(world.leader(), "POST", "/pipelines/billing/cancel")
                 await trio.sleep(0.5)
-            there = set(jobs_stored(world))
+            created_before = set(stored_job_ids(world))
             txn = world.state.txn
 
             def watched(body: Any) -> Any:
@@ -324,7 +324,7 @@
             await world.heal()
             await trio.sleep(10.0)
         assert set(late) == {"p/run/billing"}, "a batch came late, and it was the run's version that refused it"
-        assert set(jobs_stored(world)) == there
+        assert set(stored_job_ids(world)) == created_before
 
     story(scenario, parts=EXTENSIONS)
 
@@ -386,6 +386,6 @@
             nursery.start_soon(send, one, 0)
             nursery.start_soon(send, other, 1)
         assert sorted(status for status, _ in answers) == [200, 409]
-        assert set(jobs_stored(world)) in [set(named.values()) for named in ids]
+        assert set(stored_job_ids(world)) in [set(named.values()) for named in ids]
 
     story(scenario, parts=EXTENSIONS)
