--- a/pepperlatch/command/pipelines.py
+++ b/pepperlatch/command/pipelines.py
@@ -17,25 +17,25 @@
 from pepperlatch.protocol import wire
 
 if TYPE_CHECKING:
-    from pepperlatch.pipelines.compile import Compiled
+    from pepperlatch.pipelines.compile import CompiledFile
 
 ROOT, SCHEDULES = "/pipelines", "/schedules"
 OVER = {DONE, wire.JobState.CANCELLED.value, "refused", "cancelled"}
 
 
-def read(file: str, key: str | None, team: str | None = None) -> "Compiled":
+def read(file: str, key: str | None, team: str | None = None) -> "CompiledFile":
     """What a file asks for; every mistake is printed with its place, and the command ends with code 2."""
     from pepperlatch.command import preferences
-    from pepperlatch.pipelines.compile import compiled
-    from pepperlatch.pipelines.document import Mistakes
+    from pepperlatch.pipelines.compile import compile_file
+    from pepperlatch.pipelines.document import InvalidFile
 
     data = sys.stdin.buffer.read(c.MAX_FILE_BYTES + 1) if file == "-" else _bytes(file)
     try:
-        return compiled(data, key, preferences.load().team if team is None else team)
-    except Mistakes as error:
-        for mistake in error.found[: c.MAX_ERRORS_SHOWN]:
-            click.echo(mistake.line("standard input" if file == "-" else file), err=True)
-        if (more := len(error.found) - c.MAX_ERRORS_SHOWN) > 0:
+        return compile_file(data, key, preferences.load().team if team is None else team)
+    except InvalidFile as error:
+        for mistake in error.mistakes[: c.MAX_ERRORS_SHOWN]:
+            click.echo(mistake.format("standard input" if file == "-" else file), err=True)
+        if (more := len(error.mistakes) - c.MAX_ERRORS_SHOWN) > 0:
             click.echo(f"and {more} more", err=True)
         raise click.exceptions.Exit(USAGE) from None
 
@@ -46,7 +46,7 @@
 
 
 def show_plan(plan: plans.Plan, form: str) -> int:
-    named, times = plans.specs(plan), plans.timing(plan)
+    named, times = plans.job_specs(plan), plans.timing(plan)
     steps = {step.name: step for step in plan.steps}
     if form == "json":
         rows = [
@@ -55,7 +55,7 @@
              "job": wire.to_plain(spec)}
             for name, spec in named.items()
         ]  # fmt: skip
-        output.json({"run": plan.address, "steps": rows})
+        output.json({"run": plan.run_name, "steps": rows})
         return OK
     columns = ("step", "job", "tasks", "needs", "starts", "ends", "to spare")
     table = [
@@ -63,7 +63,7 @@
          output.seconds(times[name].ends_s), output.seconds(times[name].slack_s))
         for name, spec in named.items()
     ]  # fmt: skip
-    output.table(columns, table, plan.address)
+    output.table(columns, table, plan.run_name)
     late = [name for name, time in times.items() if time.slack_s < 0]
     if late:
         output.say(f"by its estimates the deadline cannot be met: {', '.join(late[:5])}")
@@ -71,7 +71,7 @@
 
 
 def run(talk: Talk, plan: plans.Plan, wait: bool) -> int:
-    return _begun(talk, "PUT", f"{ROOT}/{plan.address}", {"plan": _packed(plan)}, wait)
+    return _begun(talk, "PUT", f"{ROOT}/{plan.run_name}", {"plan": _packed(plan)}, wait)
 
 
 def _packed(plan: plans.Plan) -> str:
@@ -81,7 +81,7 @@
     return packed
 
 
-def schedule(talk: Talk, asked: "Compiled") -> int:
+def schedule(talk: Talk, asked: "CompiledFile") -> int:
     if asked.schedule is None:
         raise ValueError("the file has no `schedule`")
     body = {"plan": _packed(asked.plan), "schedule": asked.schedule}
--- a/tests/pipelines/test_files.py
+++ b/tests/pipelines/test_files.py
@@ -1,4 +1,4 @@
-"""Pipeline files: refused whole with every place, or planned; and what stays the same however a file is written."""
+"""Pipeline files are planned, or refused whole with the position of each mistake; order and format change nothing."""
 
 import hashlib
 import random
@@ -15,13 +15,13 @@
 from pepperlatch.controller.users import check_job
 from pepperlatch.pipelines import canonical, model
 from pepperlatch.pipelines import plan as plans
-from pepperlatch.pipelines.compile import compiled
-from pepperlatch.pipelines.document import Mistakes
+from pepperlatch.pipelines.compile import compile_file
+from pepperlatch.pipelines.document import InvalidFile
 from pepperlatch.protocol import wire
-from tests.pipelines.helpers import described
+from tests.pipelines.helpers import job_description
 
 ROOT = Path(__file__).parents[2]
-GOOD = """name: billing
+VALID_FILE = """name: billing
 team: red
 deadline: 10min
 defaults: {class: x, cpus: 2, memory_gb: 1, estimate: 10 s}
@@ -36,15 +36,16 @@
 
 
 def mistakes(text: str | bytes) -> list[str]:
-    with pytest.raises(Mistakes) as refused:
-        compiled(text.encode("utf-8") if isinstance(text, str) else text)
-    return [mistake.line("f") for mistake in refused.value.found]
+    """The mistakes of an invalid file `f`, one line each."""
+    with pytest.raises(InvalidFile) as refused:
+        compile_file(text.encode("utf-8") if isinstance(text, str) else text)
+    return [mistake.format("f") for mistake in refused.value.mistakes]
 
 
-def test_a_file_becomes_jobs_with_one_deadline_and_time_to_spare() -> None:
-    plan = compiled(GOOD.encode()).plan
+def test_file_compiles_to_jobs_with_one_deadline_and_slack() -> None:
+    plan = compile_file(VALID_FILE.encode()).plan
     assert [step.name for step in plan.steps] == ["collect", "render-ann", "render-james", "send"]
-    named = plans.specs(plan)
+    named = plans.job_specs(plan)
     assert [spec.deadline_s for spec in named.values()] == [None, None, None, 600.0]
     assert set(named["send"].needs or ()) == {named["render-ann"].id, named["render-james"].id}
     times = plans.timing(plan)
@@ -87,31 +88,31 @@
          "f:2:41: schedule.timezone: 'Asia/Aman' is no zone of the tz database, such as 'Asia/Amman' or 'UTC'"),
         (lambda t: t.replace("red", "é").encode("latin-1"), "f:2:7: not UTF-8 text"),
         (lambda t: "a: " + "[" * 300, "f:1:27: nested more than 24 deep"),
-        (lambda t: t + "#" * c.MAX_FILE_BYTES, f"f:1:1: the file has {len(GOOD) + c.MAX_FILE_BYTES} bytes"),
+        (lambda t: t + "#" * c.MAX_FILE_BYTES, f"f:1:1: the file has {len(VALID_FILE) + c.MAX_FILE_BYTES} bytes"),
         (lambda t: "a: &a [1,1,1,1,1,1,1,1,1,1]\n" + "".join(
             f"{chr(98 + n)}: &{chr(98 + n)} [{','.join(['*' + chr(97 + n)] * 10)}]\n" for n in range(9)),
          "more than 200000 values once aliases are written out"),
     ],
 )  # fmt: skip
-def test_a_file_with_a_mistake_is_refused_whole_with_its_place(change: Callable[[str], Any], line: str) -> None:
-    found = mistakes(change(GOOD))
+def test_file_with_a_mistake_is_refused_with_its_position(change: Callable[[str], Any], line: str) -> None:
+    found = mistakes(change(VALID_FILE))
     assert line in found[0]
 
 
-def test_every_mistake_of_a_file_is_listed_in_order() -> None:
-    text = GOOD.replace("needs: collect", "needs: colect").replace("{parish}", "{perish}").replace("send}", "x}")
+def test_all_mistakes_of_a_file_are_listed_in_order() -> None:
+    text = VALID_FILE.replace("needs: collect", "needs: colect").replace("{parish}", "{perish}").replace("send}", "x}")
     assert [line.split(" ")[0] for line in mistakes(text)] == ["f:8:12:", "f:9:12:"]
-    text = GOOD.replace("team:", "teem:").replace("estimate", "estimat").replace("matrix", "matrx")
+    text = VALID_FILE.replace("team:", "teem:").replace("estimate", "estimat").replace("matrix", "matrx")
     assert [line.split(" ")[0] for line in mistakes(text)] == ["f:2:1:", "f:4:45:", "f:10:5:"]
 
 
 @pytest.mark.parametrize("file", sorted((ROOT / "examples").glob("*.yaml")), ids=lambda file: file.stem)
-def test_the_examples_are_planned_without_a_late_step(file: Path) -> None:
-    plan = compiled(file.read_bytes()).plan
+def test_examples_compile_without_a_late_step(file: Path) -> None:
+    plan = compile_file(file.read_bytes()).plan
     assert len(plan.steps) >= 4 and all(0 < time.slack_s < 3600 for time in plans.timing(plan).values())
 
 
-def test_the_schema_names_every_field_of_the_examples() -> None:
+def test_schema_has_every_field_of_the_examples() -> None:
     made = model.schema()
     fields = set(made["$defs"]["Step"]["properties"])
     for file in (ROOT / "examples").glob("*.yaml"):
@@ -121,7 +122,7 @@
     assert made["$defs"]["Step"]["additionalProperties"] is False
 
 
-# --- whatever is written --------------------------------------------------------------------------
+# --- generated files ------------------------------------------------------------------------------
 
 unlikely = st.one_of(
     st.none(), st.booleans(), st.integers(-(10**40), 10**40), st.floats(), st.text(max_size=8), st.just([]), st.just({})
@@ -147,14 +148,17 @@
 
 
 def planned_or_refused(data: bytes) -> plans.Plan | None:
+    """The valid plan of a file, or None if it is refused with positions; anything else fails the test."""
     try:
-        plan = compiled(data).plan
-    except Mistakes as error:
-        assert error.found and all(m.place.line >= 1 and m.place.column >= 1 and m.text for m in error.found)
+        plan = compile_file(data).plan
+    except InvalidFile as error:
+        assert error.mistakes and all(
+            m.position.line >= 1 and m.position.column >= 1 and m.text for m in error.mistakes
+        )
         return None
-    assert plans.problems(plan) == []
-    for spec in plans.specs(plan).values():
-        check_job(wire.to_plain(spec))  # the core refuses none of them as malformed
+    assert plans.find_problems(plan) == []
+    for spec in plans.job_specs(plan).values():
+        check_job(wire.to_plain(spec))  # a controller refuses none of them as malformed
     assert plans.unpack(plans.pack(plan)) == plan
     return plan
 
@@ -174,13 +178,15 @@
     assert (plan is None) == (other is None)
     if plan is not None and other is not None:
         assert plans.digest(plan) == plans.digest(other)
-        assert {s: spec.id for s, spec in plans.specs(plan).items()} == {s: x.id for s, x in plans.specs(other).items()}
+        assert {s: spec.id for s, spec in plans.job_specs(plan).items()} == {
+            s: x.id for s, x in plans.job_specs(other).items()
+        }
 
 
-def test_the_id_follows_from_what_is_asked_and_from_nothing_else() -> None:
-    """The digits are written down: another version must make the same ids, or a job sent to both would run twice."""
-    asked = described(builds=["m8", "g8"], due_s=60)
-    known = canonical.identified(asked, "2026-12").id
+def test_job_id_depends_on_the_content_alone() -> None:
+    """The expected id is a literal: if versions computed different ids, a job sent to two versions would run twice."""
+    description = job_description(builds=["m8", "g8"], due_s=60)
+    known = canonical.with_content_id(description, "2026-12").id
     form = (
         b'{"again":"","job":{"apart":false,"builds":["g8","m8"],"bundle":"img","cores":2.0,"crew":"red","due_s":60.0,'
         b'"expected_s":10.0,"gpus":0.0,"jobclass":"x","loaners":false,"memory_gb":1.0,"one_zone":false,"pieces":2,'
@@ -189,13 +195,18 @@
     )
     assert known == "run-" + hashlib.sha256(form).hexdigest()[:40] == "run-0e48c1923d6c96a3982557186d101917bfd1f050"
     same = [
-        {**asked, "builds": ["g8", "m8", "g8"]},
-        {**asked, "cores": 2, "due_s": 60.0, "unknown": 1},
-        dict(reversed(asked.items())),
-        {name: value for name, value in asked.items() if value is not None},
+        {**description, "builds": ["g8", "m8", "g8"]},
+        {**description, "cores": 2, "due_s": 60.0, "unknown": 1},
+        dict(reversed(description.items())),
+        {name: value for name, value in description.items() if value is not None},
     ]
-    assert {canonical.identified(job, "2026-12").id for job in same} == {known}
-    others = [{**asked, "cores": 3.0}, {**asked, "builds": None}, {**asked, "urgency": "low"}, {**asked, "due_s": None}]
-    ids = {canonical.identified(job, "2026-12").id for job in others}
-    ids |= {canonical.identified(asked).id, canonical.identified(asked, "2026-12", "a").id}
+    assert {canonical.with_content_id(job, "2026-12").id for job in same} == {known}
+    others = [
+        {**description, "cores": 3.0},
+        {**description, "builds": None},
+        {**description, "urgency": "low"},
+        {**description, "due_s": None},
+    ]
+    ids = {canonical.with_content_id(job, "2026-12").id for job in others}
+    ids |= {canonical.with_content_id(description).id, canonical.with_content_id(description, "2026-12", "a").id}
     assert len(ids) == 6 and known not in ids
