--- a/pepperlatch/command/console.py
+++ b/pepperlatch/command/console.py
@@ -29,7 +29,7 @@
         raise ValueError(f"{name}: no such time zone") from None
 
 
-def _asking(talk: Any, timeout_s: float, say: Any) -> Ask:
+def _request_function(talk: Any, timeout_s: float, say: Any) -> Ask:
     """Compressed answers, one node after the other; what cannot be had is said by the mirror's own exceptions."""
     network = HttpNetwork(core.MAX_CLIENT_CONNECTIONS, gzip=True)
     service = Service(talk.service.nodes, timeout_s, say, network)
@@ -53,11 +53,11 @@
     zone = zone_of(zone_name)
     query = read_filter(words)
     if once:
-        return _once(talk, Mirror(_asking(talk, talk.service.timeout_s, output.say), query), zone)
+        return _once(talk, Mirror(_request_function(talk, talk.service.timeout_s, output.say), query), zone)
     if not sys.stdout.isatty():
         output.say("not a terminal: use --once")
         return REFUSED
-    mirror = Mirror(_asking(talk, c.STALE_AFTER_S / 2, lambda text: None), query)
+    mirror = Mirror(_request_function(talk, c.STALE_AFTER_S / 2, lambda text: None), query)
     run(lambda show: Feed(mirror, Wants(query), show), zone)
     return OK
 
@@ -90,7 +90,7 @@
     from pepperlatch.console.public import Hidden
 
     zone = zone_of(zone_name)
-    mirror = Mirror(_asking(talk, talk.service.timeout_s, output.say))
+    mirror = Mirror(_request_function(talk, talk.service.timeout_s, output.say))
     try:
         content = trio.run(page.gather, mirror, 0 if members else c.MAX_REPORT_TIMELINES)
     except Silent as error:
--- a/tests/console/test_faces.py
+++ b/tests/console/test_faces.py
@@ -274,7 +274,7 @@
 
         return ask
 
-    monkeypatch.setattr(face, "_asking", asking)
+    monkeypatch.setattr(face, "_request_function", asking)
     node = ["--node", "127.0.0.1:1"]
     assert cli.main(["console", *node, "--once", "team:red"]) == 0
     printed = capsys.readouterr()
