--- a/pepperlatch/command/console.py
+++ b/pepperlatch/command/console.py
@@ -1,4 +1,4 @@
-"""`pepperlatch console` and `pepperlatch report`: the options read, the copy made, one of the faces shown."""
+"""`pepperlatch console` and `pepperlatch report`: fetch the jobs that the service shows and present them."""
 
 import sys
 from datetime import tzinfo
@@ -9,7 +9,7 @@
 import trio
 
 from pepperlatch.command import output
-from pepperlatch.command.service import OK, REFUSED, NoAnswer, Service
+from pepperlatch.command.retrying_client import OK, REFUSED, NoAnswer, RetryingClient
 from pepperlatch.console import formatting
 from pepperlatch.console.poller import Poller, Selection, ViewState
 from pepperlatch.console.rows import BadQuery, to_builtins
@@ -19,8 +19,11 @@
 from pepperlatch.protocol.http.client import HttpNetwork
 
 
-def zone_of(name: str) -> tzinfo | None:
-    """None: the machine's own. Raises ValueError for a zone that the tz database does not have."""
+def time_zone(name: str) -> tzinfo | None:
+    """The named time zone; None, which stands for the machine's own, for an empty name.
+
+    Raises ValueError for a zone that the tz database does not have.
+    """
     if not name:
         return None
     try:
@@ -29,40 +32,50 @@
         raise ValueError(f"{name}: no such time zone") from None
 
 
-def _asking(talk: Any, timeout_s: float, say: Any) -> AskFunction:
-    """Compressed answers, one node after the other; what cannot be had is said by the mirror's own exceptions."""
+def _request_function(client: Any, timeout_s: float, report_retry: Any) -> AskFunction:
+    """The function through which a `Mirror` sends requests: tries the client's nodes in turn for `timeout_s` seconds.
+
+    Answers may be compressed. It raises Silent if no node gives a final response in time.
+    """
     network = HttpNetwork(core.MAX_CLIENT_CONNECTIONS, gzip=True)
-    service = Service(talk.service.nodes, timeout_s, say, network)
+    http = RetryingClient(client.http.nodes, timeout_s, report_retry, network)
 
-    async def ask(method: str, path: str) -> tuple[int, Any]:
+    async def request(method: str, path: str) -> tuple[int, Any]:
         try:
-            return await service.ask(method, path)
+            return await http.request(method, path)
         except NoAnswer as error:
             raise NoNodeAnswered(str(error)) from None
 
-    return ask
+    return request
+
 
+def run_console(client: Any, filter_text: str, zone_name: str, once: bool) -> int:
+    """Show the jobs that match the filter until the viewer quits, or print them once; returns the exit code.
 
-def watch(talk: Any, words: str, zone_name: str, once: bool) -> int:
-    """Until the viewer quits, or once as a plain table."""
+    Raises ValueError for a wrong filter or time zone, and with `once` as `_print_once`.
+    """
     try:
         from pepperlatch.console.terminal import parse_filter, run
     except ImportError:
-        output.say("the console needs more libraries: pip install 'pepperlatch[console]'")
+        output.print_message("the console needs more libraries: pip install 'pepperlatch[console]'")
         return REFUSED
-    zone = zone_of(zone_name)
-    query = parse_filter(words)
+    zone = time_zone(zone_name)
+    query = parse_filter(filter_text)
     if once:
-        return _once(talk, ViewCopy(_asking(talk, talk.service.timeout_s, output.say), query), zone)
+        return _print_once(
+            client, ViewCopy(_request_function(client, client.http.timeout_s, output.print_message), query), zone
+        )
     if not sys.stdout.isatty():
-        output.say("not a terminal: use --once")
+        output.print_message("not a terminal: use --once")
         return REFUSED
-    view_copy = ViewCopy(_asking(talk, c.STALE_AFTER_S / 2, lambda text: None), query)
+    view_copy = ViewCopy(_request_function(client, c.STALE_AFTER_S / 2, lambda text: None), query)
     run(lambda show: Poller(view_copy, Selection(query), show), zone)
     return OK
 
 
-def _once(talk: Any, view_copy: ViewCopy, zone: tzinfo | None) -> int:
+def _print_once(client: Any, view_copy: ViewCopy, zone: tzinfo | None) -> int:
+    """Print the jobs, as a table or as JSON. Raises Silent or Refused, or NoAnswer if nothing could be fetched."""
+
     async def look() -> ViewState:
         await view_copy.load_complete()
         return await Poller(view_copy, Selection(view_copy.query), lambda view_state: None).poll_once()
@@ -70,45 +83,51 @@
     view_state = trio.run(look)
     if not view_state.head:
         raise NoAnswer(view_state.stale)
-    if talk.form == "json":
-        output.json(
+    if client.output_format == "json":
+        output.print_json(
             {**view_state.head, "stale": view_state.stale, "jobs": to_builtins(view_state.rows), **view_state.overview}
         )
         return OK
-    output.say(f"{formatting.date_time_text(view_state.now, zone)}: {formatting.headline(view_state.overview)}")
+    output.print_message(
+        f"{formatting.date_time_text(view_state.now, zone)}: {formatting.headline(view_state.overview)}"
+    )
     if view_state.stale:
-        output.say(f"stale: {view_state.stale}")
-    output.table(formatting.JOB_COLUMNS, [formatting.job_cells(row, view_state.now) for row in view_state.rows])
+        output.print_message(f"stale: {view_state.stale}")
+    output.print_table(formatting.JOB_COLUMNS, [formatting.job_cells(row, view_state.now) for row in view_state.rows])
     return OK
 
 
-def report(talk: Any, file: str, zone_name: str, members: bool, teams: tuple[str, ...], names: bool) -> int:
-    """Write the page; an existing file is replaced whole or not at all."""
+def report(client: Any, file: str, zone_name: str, members: bool, teams: tuple[str, ...], names: bool) -> int:
+    """Write the page to a file, `-` for standard output; returns the exit code. Raises NoAnswer.
+
+    An existing file is replaced whole or not at all. With `members` the page holds jobs only: those of `teams`, or
+    of all teams if that is empty, with other words in place of their names unless `names`.
+    """
     try:
-        from pepperlatch.console import report as page
+        from pepperlatch.console import report as report_page
     except ImportError:
-        output.say("the report needs more libraries: pip install 'pepperlatch[console]'")
+        output.print_message("the report needs more libraries: pip install 'pepperlatch[console]'")
         return REFUSED
     from pepperlatch.console.public import Redactor
 
-    zone = zone_of(zone_name)
-    view_copy = ViewCopy(_asking(talk, talk.service.timeout_s, output.say))
+    zone = time_zone(zone_name)
+    view_copy = ViewCopy(_request_function(client, client.http.timeout_s, output.print_message))
     try:
-        content = trio.run(page.gather, view_copy, 0 if members else c.MAX_REPORT_TIMELINES)
+        content = trio.run(report_page.gather, view_copy, 0 if members else c.MAX_REPORT_TIMELINES)
     except NoNodeAnswered as error:
         raise NoAnswer(str(error)) from None
     except (ViewRefused, BadQuery) as error:
-        output.say(str(error))
+        output.print_message(str(error))
         return REFUSED
     if members:
-        content = page.for_members(content, Redactor(names, list(teams)))
-    text = page.render(content, zone)
+        content = report_page.for_members(content, Redactor(names, list(teams)))
+    text = report_page.render(content, zone)
     if file == "-":
         print(text)
         return OK
     target = Path(file)
-    beside = target.with_name(target.name + ".part")
-    beside.write_text(text, "utf-8")
-    beside.replace(target)
-    output.say(f"{file}: {len(content.rows)} jobs, {len(text.encode('utf-8')) / 1000:.0f} KB")
+    temporary = target.with_name(target.name + ".part")
+    temporary.write_text(text, "utf-8")
+    temporary.replace(target)
+    output.print_message(f"{file}: {len(content.rows)} jobs, {len(text.encode('utf-8')) / 1000:.0f} KB")
     return OK
