--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -39,14 +39,14 @@
     memory_mb: float = 150.0
 
 
-HALL = Platform(
+CPU_PLATFORM = Platform(
     zones=ZONES,
     machine={"sku": "m8", "cores": 8.0, "gpus": 0.0, "memory_gb": 32.0, "cache_gb": 20.0, "pull_gb_per_s": 1.0,
              "rate": 1.0, "market_price": 0.3, "ready_s": 5.0, "yards": ZONES},
     teams={"red": (16.0, 32.0, 0.0, 0.0), "blue": (8.0, 16.0, 0.0, 0.0)},
     state={"rps": 300.0, "write_rps": 100.0, "value_kb": 16.0, "txn_ops": 16},
 )  # fmt: skip
-LAB = Platform(  # two cards a machine, teams with a share in GPUs alone, two zones, a narrow state service
+GPU_PLATFORM = Platform(  # two cards a machine, teams with a share in GPUs alone, two zones, a narrow state service
     zones=ZONES[:2],
     machine={"sku": "g2", "cores": 24.0, "gpus": 2.0, "memory_gb": 96.0, "cache_gb": 90.0, "pull_gb_per_s": 1.0,
              "rate": 4.98, "market_price": 1.32, "ready_s": 5.0, "yards": ZONES[:2]},
@@ -56,7 +56,7 @@
 
 
 def settings_of(
-    index: int, count: int = 3, after: str = "", write_rps: float | None = None, platform: Platform = HALL
+    index: int, count: int = 3, after: str = "", write_rps: float | None = None, platform: Platform = CPU_PLATFORM
 ) -> Any:
     """`after`: limits that the state service will have from some moment on, as lines of the file."""
     zones = platform.zones
@@ -581,7 +581,7 @@
     def __init__(
         self, nursery: trio.Nursery, count: int = 3, after: str = "", parts: Any = (),
         wall: Callable[[float], float] = lambda now: 1e9 + now, write_rps: float | None = None,
-        platform: Platform = HALL,
+        platform: Platform = CPU_PLATFORM,
     ) -> None:  # fmt: skip
         self.nursery = nursery
         self.platform = platform
--- a/tests/gangs/test_boots.py
+++ b/tests/gangs/test_boots.py
@@ -2,9 +2,9 @@
 
 from pepperlatch.policy.boots import Boots
 from pepperlatch.protocol import wire
-from tests.fakes import LAB
+from tests.fakes import GPU_PLATFORM
 
-KIND: wire.MachineType = wire.convert({**LAB.machine, "ready_s": 60.0}, wire.MachineType)
+KIND: wire.MachineType = wire.convert({**GPU_PLATFORM.machine, "ready_s": 60.0}, wire.MachineType)
 
 
 def test_slow_boots_are_learned_and_forgotten_and_nothing_healthy_is_given_up_for_them() -> None:
--- a/tests/gangs/test_limits.py
+++ b/tests/gangs/test_limits.py
@@ -9,7 +9,7 @@
 from pepperlatch.policy.quota import Quota
 from pepperlatch.protocol import wire
 from pepperlatch.settings import Team
-from tests.fakes import LAB, World, job, run_scenario, settings_of
+from tests.fakes import GPU_PLATFORM, World, job, run_scenario, settings_of
 from tests.test_edges import spec_of
 
 CARD = {"cores": 10.0, "gpus": 1.0, "memory_gb": 30.0}
@@ -23,7 +23,7 @@
         sweep = job(2, crew="blue", pieces=12, expected_s=5.0, **CARD)
         for body in (gang, sweep):
             assert (await world.submit(body))[0] == 201
-        world.cloud.capacity.update({zone: 20 for zone in LAB.zones})
+        world.cloud.capacity.update({zone: 20 for zone in GPU_PLATFORM.zones})
         await world.until(lambda: world.running(sweep) == 8, 60)
         await trio.sleep(2)
         assert world.running(sweep) == 8, "12 tasks, and the team may use 8 GPUs"
@@ -33,7 +33,7 @@
         status, said = await world.submit(too_many)
         assert (status, "13 GPUs" in said["error"], "red: 12" in said["error"]) == (422, True, True)
 
-    run_scenario(scenario, platform=LAB)
+    run_scenario(scenario, platform=GPU_PLATFORM)
 
 
 def test_a_guarantee_counts_in_what_it_is_given_in() -> None:
@@ -68,16 +68,16 @@
     ],
 )
 def test_what_can_never_run_is_refused_with_what_stands_in_its_way(changes: dict[str, object], said: str) -> None:
-    kind: wire.MachineType = wire.convert(LAB.machine, wire.MachineType)
+    kind: wire.MachineType = wire.convert(GPU_PLATFORM.machine, wire.MachineType)
     with pytest.raises(Unsatisfiable) as refused:
-        check_possible(spec_of(1, **{**CARD, **changes}), settings_of(0, platform=LAB), [kind])
+        check_possible(spec_of(1, **{**CARD, **changes}), settings_of(0, platform=GPU_PLATFORM), [kind])
     assert said in str(refused.value)
 
 
 def test_a_gang_that_waits_for_cards_says_how_many_are_free_together_and_where() -> None:
     async def scenario(world: World) -> None:
         world.cloud.capacity.clear()
-        for zone in LAB.zones:
+        for zone in GPU_PLATFORM.zones:
             world.cloud.create(zone)
         await trio.sleep(7)
         held = job(1, pieces=1, yard="a", expected_s=0.0, shape="daemon", **CARD)
@@ -92,4 +92,4 @@
         world.cloud.capacity["b"] = 2
         await world.until(lambda: world.state.job_state("run-000002") == "done", 60)
 
-    run_scenario(scenario, platform=LAB)
+    run_scenario(scenario, platform=GPU_PLATFORM)
--- a/tests/gangs/test_narrow_state.py
+++ b/tests/gangs/test_narrow_state.py
@@ -4,7 +4,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.protocol.budget import Elastic
-from tests.fakes import LAB, World, job, run_scenario
+from tests.fakes import GPU_PLATFORM, World, job, run_scenario
 
 CARD = {"cores": 10.0, "gpus": 1.0, "memory_gb": 30.0}
 
@@ -25,7 +25,7 @@
     """Seen: 147 answers 503 and 5 % of submissions after more than 0.5 s, with 3 of 15 changes a second in use."""
 
     async def scenario(world: World) -> None:
-        world.state.limits = dict(LAB.state)
+        world.state.limits = dict(GPU_PLATFORM.state)
         await trio.sleep(3)
         index = next(i for i in world.nodes if i != world.leader())
         took: list[float] = []
@@ -43,12 +43,12 @@
         assert max(took) < 0.5
         assert not world.state.refusals
 
-    run_scenario(scenario, 7, platform=LAB)
+    run_scenario(scenario, 7, platform=GPU_PLATFORM)
 
 
 def test_a_burst_at_all_seven_is_accepted_at_what_the_service_takes_and_the_rest_is_told_when_to_come_back() -> None:
     async def scenario(world: World) -> None:
-        world.state.limits = dict(LAB.state)
+        world.state.limits = dict(GPU_PLATFORM.state)
         await trio.sleep(3)
         began, answers = trio.current_time(), []
 
@@ -64,9 +64,9 @@
         async with trio.open_nursery() as nursery:
             for number in range(140):
                 nursery.start_soon(submit, number)
-        assert trio.current_time() - began < 2.5 * 140 / LAB.state["write_rps"]
+        assert trio.current_time() - began < 2.5 * 140 / GPU_PLATFORM.state["write_rps"]
         assert len(world.state.refusals) < 60, "each falls back at once, and none asks again and again"
         assert "400" not in world.state.refusals
         assert len({i for i in range(7) if world.nodes[i].leader}) == 1, "the leader kept its lease"
 
-    run_scenario(scenario, 7, platform=LAB)
+    run_scenario(scenario, 7, platform=GPU_PLATFORM)
--- a/tests/gangs/test_room.py
+++ b/tests/gangs/test_room.py
@@ -7,11 +7,11 @@
 from pepperlatch.policy import fleet, gangs, placement
 from pepperlatch.policy.model import Attempt, Job, Machine, Status
 from pepperlatch.protocol import wire
-from tests.fakes import LAB, World, job, run_scenario
+from tests.fakes import GPU_PLATFORM, World, job, run_scenario
 from tests.test_edges import run_on, spec_of
 
 CARD = {"cores": 10.0, "gpus": 1.0, "memory_gb": 30.0}
-KIND: wire.MachineType = wire.convert(LAB.machine, wire.MachineType)
+KIND: wire.MachineType = wire.convert(GPU_PLATFORM.machine, wire.MachineType)
 NOW = 100.0
 
 
@@ -93,7 +93,7 @@
 def test_an_urgent_gang_has_younger_work_stopped_when_every_card_is_taken(tasks: int) -> None:
     async def scenario(world: World) -> None:
         world.cloud.capacity.clear()
-        for zone in LAB.zones:
+        for zone in GPU_PLATFORM.zones:
             for _ in range(2):
                 world.cloud.create(zone)
         sweep = job(1, pieces=8, expected_s=200.0, **CARD)
@@ -106,7 +106,7 @@
         await world.until(lambda: world.state.job_state("run-000002") == "done", 20)
         await world.until(lambda: world.running(sweep) == 8, 10)
 
-    run_scenario(scenario, platform=LAB)
+    run_scenario(scenario, platform=GPU_PLATFORM)
 
 
 def test_work_that_may_use_cheap_machines_leaves_dear_ones_to_get_empty() -> None:
--- a/tests/meetings/test_limits.py
+++ b/tests/meetings/test_limits.py
@@ -10,7 +10,19 @@
 from pepperlatch.policy.quota import Use
 from pepperlatch.protocol import wire
 from tests.cuts.test_sessions import HOLD_S, TOKEN, cluster_of, report
-from tests.fakes import CANCEL_S, HALL, LAB, NODES, ZONES, Platform, Worker, World, job, run_scenario, settings_of
+from tests.fakes import (
+    CANCEL_S,
+    CPU_PLATFORM,
+    GPU_PLATFORM,
+    NODES,
+    ZONES,
+    Platform,
+    Worker,
+    World,
+    job,
+    run_scenario,
+    settings_of,
+)
 from tests.test_edges import machine, spec_of
 
 
@@ -30,7 +42,7 @@
     how: str
     cancel_s: float  # after the leader's end
     shape: str = "sweep"
-    platform: Platform = HALL
+    platform: Platform = CPU_PLATFORM
     before: bool = False  # the next job is there before the leader ends
 
     async def scenario(self, world: World) -> None:
@@ -38,8 +50,8 @@
         for zone in world.platform.zones:  # none has lost all its machines when some hang
             for _ in range(3):
                 world.cloud.create(zone)
-        size = {"cores": 8.0} if self.platform is HALL else {"cores": 8.0, "gpus": 2.0}
-        count = 4 if self.platform is HALL else 6
+        size = {"cores": 8.0} if self.platform is CPU_PLATFORM else {"cores": 8.0, "gpus": 2.0}
+        count = 4 if self.platform is CPU_PLATFORM else 6
         lasts = 0.0 if self.shape == "daemon" else 400.0
         first, second = (job(n, shape=self.shape, pieces=count, expected_s=lasts, pull_gb=0.0, **size) for n in (1, 2))
         await world.submit(first)
@@ -82,7 +94,10 @@
     run_scenario(AtItsLimit(how, cancel_s).scenario)
 
 
-@pytest.mark.parametrize(("count", "shape", "platform"), [(7, "daemon", HALL), (3, "group", HALL), (3, "sweep", LAB)])
+@pytest.mark.parametrize(
+    ("count", "shape", "platform"),
+    [(7, "daemon", CPU_PLATFORM), (3, "group", CPU_PLATFORM), (3, "sweep", GPU_PLATFORM)],
+)
 def test_so_do_services_gangs_and_limits_in_gpus(count: int, shape: str, platform: Platform) -> None:
     run_scenario(AtItsLimit("cut", -0.3, shape, platform).scenario, count, platform=platform)
 
