--- a/tests/cuts/generated.py
+++ b/tests/cuts/generated.py
@@ -73,7 +73,7 @@
 
 
 def links_with_outdated_launches(world: World) -> set[tuple[str, str]]:
-    """Links that hold a launch of a task which now runs on another machine: delivered now, it would run twice."""
+    """Links that hold a launch of a task which now runs on another machine: the worst moment to deliver it."""
     runs = {name: w for w in world.workers for (name, _), t in w.tasks.items() if t.state == "running"}
     return {
         item.link for item in world.held_requests for order in (item.body or {}).get("orders", ())
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -191,10 +191,10 @@
             return self.lease(method, url.path.split("/")[2:], body)
         if url.path == "/keys":
             return self.list_page(query)
-        held = self.keys.get(url.path[len("/keys/") :])
-        if held is None:
+        entry = self.keys.get(url.path[len("/keys/") :])
+        if entry is None:
             return 404, {"ledger_mark": self.revision}
-        return 200, {"k": url.path[len("/keys/") :], "value": held[0], "stamp": held[1]}
+        return 200, {"k": url.path[len("/keys/") :], "value": entry[0], "stamp": entry[1]}
 
     def list_page(self, query: dict[str, str]) -> Answer:
         """One page of the keys under a prefix, in alphabetical order."""
@@ -267,25 +267,25 @@
     def end(self, lease: int) -> None:
         """End a lease and delete the keys that were written under it."""
         del self.leases[lease]
-        gone = [{"delete": k} for k, held in self.keys.items() if held[2] == lease]
-        if gone:
-            self.change(gone)
+        deletions = [{"delete": k} for k, entry in self.keys.items() if entry[2] == lease]
+        if deletions:
+            self.change(deletions)
 
     async def run(self) -> None:
         """End leases that expire; an outage extends all of them."""
         while True:
             await trio.sleep(0.05)
             now = trio.current_time()
-            for lease, held in list(self.leases.items()):
+            for lease, entry in list(self.leases.items()):
                 if self.down:
-                    held[1] = now + held[0]
-                elif now > held[1]:
+                    entry[1] = now + entry[0]
+                elif now > entry[1]:
                     self.end(lease)
 
     def job_state(self, job_id: str) -> str | None:
         """The state in the job's stored record, or None if there is no record."""
-        held = self.keys.get(f"j/job/{job_id}")
-        return held[0]["state"] if held else None
+        entry = self.keys.get(f"j/job/{job_id}")
+        return entry[0]["state"] if entry else None
 
 
 class FakeCloud:
@@ -761,7 +761,7 @@
         raise Lost(path)
 
     def cut(self, one: str, other: str, mode: str, both: bool = True) -> None:
-        """Make the link from one host to another fail, in both directions or this one only; for `mode` see above."""
+        """Make the link from one host to another fail, in both directions or this one only; `mode`: see the module."""
         self.link_faults[(one, other)] = mode
         if both:
             self.link_faults[(other, one)] = mode
@@ -783,7 +783,7 @@
             await item.deliver()
 
     async def freeze(self, index: int, seconds: float) -> None:
-        """Stop a controller while its clocks run on; requests that were held for it are delivered at the end."""
+        """Stop a controller while its clocks run on; then end the cuts of links to it and deliver what was held for it."""
         self.frozen.add(NODES[index])
         await trio.sleep(seconds)
         self.frozen.discard(NODES[index])
