--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -783,7 +783,7 @@
             await item.deliver()
 
     async def freeze(self, index: int, seconds: float) -> None:
-        """Stop a controller while its clocks run on; then end the cuts of links to it and deliver what was held for it."""
+        """Stop a controller while its clocks run on; then end cuts of links to it and deliver what was held for it."""
         self.frozen.add(NODES[index])
         await trio.sleep(seconds)
         self.frozen.discard(NODES[index])
