--- a/tests/console/test_view.py
+++ b/tests/console/test_view.py
@@ -21,7 +21,7 @@
 from pepperlatch.policy.reasons import Why
 from pepperlatch.protocol.http.server import Request, Server
 from tests.console.helpers import console_extension, get_console, mixed_workload, view_copy_of, wait_for_leader
-from tests.fakes import NODES, World, job, story
+from tests.fakes import NODES, World, job, run_scenario
 
 
 def leader_of(world: World) -> Leader:
@@ -62,18 +62,18 @@
 
 
 def test_view_and_polls_show_the_leaders_reasons_through_failures() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
         assert await compare_with_core(world, 3) >= 20
         world.kill(world.leader())
         await wait_for_leader(world)
         assert await compare_with_core(world, 2) >= 8
-        world.state.out = True
+        world.state.down = True
         await trio.sleep(8.0)
-        world.state.out, world.cloud.out = False, True
+        world.state.down, world.cloud.down = False, True
         assert await compare_with_core(world, 2) >= 4
-        world.cloud.out = False
+        world.cloud.down = False
         words = ViewModel._reason_text
         try:  # the comparison notices a changed text
             ViewModel._reason_text = lambda model, reason: words(model, reason) + "."  # type: ignore[method-assign]
@@ -85,11 +85,11 @@
         finally:
             ViewModel._reason_text = words  # type: ignore[method-assign]
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_reasons_state_their_numbers() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
         texts: dict[str, str] = {}
@@ -103,11 +103,11 @@
         assert {Why.BOOTING, Why.RUNNING} <= set(texts), texts
         assert "booting, with room for" in texts[Why.BOOTING]
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_the_view_says_that_nothing_is_rented_while_the_state_service_is_away() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         world.cloud.capacity.clear()
         await world.submit(job(1))
         await trio.sleep(6.0)
@@ -115,20 +115,20 @@
         await view_copy.load_snapshot()
         row = view_copy.rows["run-000001"]
         assert row.why == Why.NO_CAPACITY and row.text.endswith("for 2 tasks of 2 CPUs, 1 GB (m8 in a, b, c)")
-        assert row.until is not None and row.until > world.wall(trio.current_time())
-        world.state.out = True
+        assert row.until is not None and row.until > world.wall_clock(trio.current_time())
+        world.state.down = True
         await trio.sleep(6.0)
         leader_of(world).cluster.dirty = True
         await trio.sleep(c.MIN_TEXT_REFRESH_S + 1)
         await view_copy.apply_changes()
         assert view_copy.rows["run-000001"].why == Why.NO_RENTING
-        world.state.out = False
+        world.state.down = False
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_applying_changes_gives_the_same_rows_as_a_snapshot() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         view_copy = view_copy_of(world, Query(state="unfinished", page=3, most=1000))
         await view_copy.load_snapshot()
         for one in mixed_workload():
@@ -148,11 +148,11 @@
         assert behind > 0, "an answer was cut to its size"
         assert view_copy.rows == fresh.rows and len(fresh.rows) >= 3
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_a_console_survives_a_change_of_leader_and_marks_stale_data() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
         await trio.sleep(10.0)
@@ -171,13 +171,13 @@
         assert stale > 0 and view_copy.stale_reason() == ""
         assert view_copy.head["token"] > token and len(view_copy.rows) >= 9
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_a_snapshot_interrupted_by_a_change_of_leader_is_restarted() -> None:
     """Guards against joining pages from the records and from a new leader with few rows, which lost 4 of 5 jobs."""
 
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
         await trio.sleep(10.0)
@@ -197,11 +197,11 @@
         assert view_copy.head["token"] == leader_of(world).term.token
         assert asked >= 4 and {f"run-{number:06d}" for number in (*range(8), 20, 21, 22, 23)} == set(view_copy.rows)
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_a_follower_cut_off_from_the_leader_shows_its_records_and_says_so() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
         await trio.sleep(10.0)
@@ -218,11 +218,11 @@
         assert len(same) >= 5, "what the leader told last is still known"
         assert (await get_console(world, other, "machines"))[0] == 503
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_time_lines_survive_a_change_of_leader() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
         await trio.sleep(c.SAVE_INTERVAL_S + 8)
@@ -237,11 +237,11 @@
         assert saved >= 3 and after["line"][:saved] == before["line"][:saved]
         assert whats.count("accepted") == 1 and whats.count("ready") == 1
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_an_incomplete_or_unknown_save_is_ignored_and_the_previous_one_restored() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         await world.submit(job(1, expected_s=400.0))
         await trio.sleep(c.SAVE_INTERVAL_S + 8)
         await world.submit(job(2, expected_s=400.0))  # nothing is saved without new records
@@ -257,11 +257,11 @@
         _, after = await get_console(world, world.leader(), "jobs/run-000001")
         assert "gap" in [event["what"] for event in after["line"]][3:]
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_a_late_save_of_an_earlier_leader_is_refused() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         await world.submit(job(1, expected_s=400.0))
         old, serve = world.leader(), world.state.serve
         held: list[Any] = []
@@ -281,13 +281,13 @@
         assert saved and (await serve("late", "POST", "/txn", held[0]))[0] == 409
         assert saved == {key: value for key, value in world.state.keys.items() if key.startswith(PREFIX)}
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
     mixed = {0: Piece(1, 2, 2, "aaaa"), 1: Piece(1, 1, 2, "bbbb")}
     assert _assemble_save(0, mixed) is None and _assemble_save(0, {**mixed, 1: Piece(1, 2, 2, "bbbb")}) is not None
 
 
 def test_a_revision_is_never_split_between_answers() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         view_copy = view_copy_of(world, Query(state="unfinished", most=1000))
         await view_copy.load_snapshot()
         for one in mixed_workload():
@@ -301,7 +301,7 @@
         await fresh.load_snapshot()
         assert set(view_copy.rows) == set(fresh.rows) and len(fresh.rows) == 12
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_viewers_stay_within_their_cpu_share_and_share_cached_answers() -> None:
@@ -317,7 +317,7 @@
         made.append(Console(core, features.Console(on=True), spent))
         return made[-1]
 
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         await world.submit(job(1))
         index = world.leader()
         answers: list[int] = []
@@ -342,11 +342,11 @@
         assert (await get_console(world, index, "jobs"))[0] == 200
         assert (await world.submit(job(2)))[0] == 201
 
-    story(tell, parts=(costly,))
+    run_scenario(scenario, parts=(costly,))
 
 
 def test_members_see_no_names_and_no_settings() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
         await trio.sleep(8.0)
@@ -372,7 +372,7 @@
         for path in ("/console/machines", "/console/jobs/run-000001", "/admin/settings", "/console/jobs?text=run-0"):
             assert (await ask(path))[0] in (400, 404), path
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
     words = [Redactor(False, [], key).pseudonym("run-1") for key in (b"x" * 16, b"x" * 16, b"y" * 16)]
     assert words[0] == words[1] != words[2]
 
@@ -390,7 +390,7 @@
     def open_(core: ExtensionContext) -> Console:
         return Console(core, features.Console(on=True, public=features.Public("127.0.0.1:1")), lambda: 0.0)
 
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         for number in range(2 * c.ROWS_PER_ANSWER):
             await world.submit(job(number))
         assert (await get_console(world, world.leader(), "jobs"))[1]["pending"] > 0
@@ -398,11 +398,11 @@
         console: Any = world.nodes[world.leader()].extensions._extensions[0]
         assert console._get_view_service()._current_model().pending() == 0 and set(served) == {"127.0.0.1"}
 
-    story(tell, parts=(open_,), write_rps=1000.0)
+    run_scenario(scenario, parts=(open_,), write_rps=1000.0)
 
 
 def test_metrics_match_the_leaders_counts_and_name_no_job() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         for one in mixed_workload():
             await world.submit(one)
         await trio.sleep(20.0)
@@ -418,21 +418,21 @@
         _, text = await world.send("admin", f"10.0.0.{other}:2", "GET", "/metrics", None, 5.0)
         assert "pepperlatch_leads 0.0" in text and "pepperlatch_jobs" not in text
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_a_trace_holds_a_jobs_time_line_across_a_change_of_leader(caplog: pytest.LogCaptureFixture) -> None:
     def traced(core: ExtensionContext) -> Console:
         return Console(core, features.Console(on=True, trace_share=1.0), lambda: 0.0)
 
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         await world.submit(job(1, expected_s=50.0))
         await trio.sleep(c.SAVE_INTERVAL_S + 8)
         world.kill(world.leader())
         await world.until(lambda: world.state.job_state("run-000001") == "done", 90)
         await trio.sleep(1.0)
 
-    story(tell, parts=(traced,))
+    run_scenario(scenario, parts=(traced,))
     lines = [record.getMessage() for record in caplog.records if record.name == "pepperlatch.trace"]
     spans = [orjson.loads(line) for line in lines]
     root = next(span for span in spans if span["name"] == "job")
@@ -465,7 +465,7 @@
         Query(job_class="x", state="unfinished", page=5), {"token": "7"},
     )  # fmt: skip
 
-    async def tell(world: World) -> None:
+    async def scenario(world: World) -> None:
         index = world.leader()
         status, answer = await get_console(world, index, "jobs?after=zzz")
         assert status == 400 and answer["field"] == "after"
@@ -478,7 +478,7 @@
         ] == 410
         assert (await get_console(world, index, "secrets"))[0] == 404
 
-    story(tell, parts=(console_extension,))
+    run_scenario(scenario, parts=(console_extension,))
 
 
 def test_filters_match_the_named_fields() -> None:
--- a/tests/gangs/test_low_write_rate.py
+++ b/tests/gangs/test_low_write_rate.py
@@ -4,7 +4,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.protocol.token_bucket import SharedTokenBucket
-from tests.fakes import LAB, World, job, story
+from tests.fakes import GPU_PLATFORM, World, job, run_scenario
 
 ONE_GPU_TASK = {"cores": 10.0, "gpus": 1.0, "memory_gb": 30.0}
 
@@ -24,8 +24,8 @@
 def test_a_few_submissions_to_one_of_seven_controllers_may_use_the_whole_write_rate() -> None:
     """Failure: 147 requests got a 503 and 5 % of submissions took over 0.5 s, with 3 of 15 changes a second in use."""
 
-    async def steps(world: World) -> None:
-        world.state.limits = dict(LAB.state)
+    async def scenario(world: World) -> None:
+        world.state.limits = dict(GPU_PLATFORM.state)
         await trio.sleep(3)
         index = next(i for i in world.nodes if i != world.leader())
         took: list[float] = []
@@ -43,12 +43,12 @@
         assert max(took) < 0.5
         assert not world.state.refusals
 
-    story(steps, 7, platform=LAB)
+    run_scenario(scenario, 7, platform=GPU_PLATFORM)
 
 
 def test_a_burst_at_seven_controllers_is_accepted_at_the_write_rate_and_the_rest_is_told_to_retry() -> None:
-    async def steps(world: World) -> None:
-        world.state.limits = dict(LAB.state)
+    async def scenario(world: World) -> None:
+        world.state.limits = dict(GPU_PLATFORM.state)
         await trio.sleep(3)
         began, answers = trio.current_time(), []
 
@@ -64,9 +64,9 @@
         async with trio.open_nursery() as nursery:
             for number in range(140):
                 nursery.start_soon(submit, number)
-        assert trio.current_time() - began < 2.5 * 140 / LAB.state["write_rps"]
+        assert trio.current_time() - began < 2.5 * 140 / GPU_PLATFORM.state["write_rps"]
         assert len(world.state.refusals) < 60, "each lowers its rate at once, and none retries again and again"
         assert "400" not in world.state.refusals
         assert len({i for i in range(7) if world.nodes[i].leader}) == 1, "the leader kept its lease, and no other leads"
 
-    story(steps, 7, platform=LAB)
+    run_scenario(scenario, 7, platform=GPU_PLATFORM)
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 
-from tests.fakes import World, job, story
+from tests.fakes import World, job, run_scenario
 
 WAIT_MOST_S = 90.0  # s; the users' bound once all outages are over
 
@@ -48,19 +48,19 @@
 def test_a_job_with_much_slack_does_not_wait_for_spot_machines_while_others_have_room() -> None:
     """Failure: the job waited for 40 % of its slack, here 750 s, beside room that nobody used (found by review)."""
 
-    async def steps(world: World) -> None:
+    async def scenario(world: World) -> None:
         await create_machines_with_room(world)
         job_with_slack = job(2, pieces=20, cores=2.0, loaners=True, expected_s=10.0, due_s=2000.0)
         await submit_and_check_wait(world, job_with_slack)
 
-    story(steps)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("spot", [False, True])
 def test_spare_room_for_replicas_is_used_by_a_job_that_has_waited_long(spot: bool) -> None:
     """Failure: with less room than one more service would need, other work waited for ever (found by review)."""
 
-    async def steps(world: World) -> None:
+    async def scenario(world: World) -> None:
         await create_machines_with_room(world)
         service = job(2, shape="daemon", pieces=6, cores=1.0, expected_s=0.0)
         await world.submit(service)
@@ -68,4 +68,4 @@
         other = job(3, pieces=20, cores=1.0, loaners=spot, expected_s=10.0)
         await submit_and_check_wait(world, other)
 
-    story(steps)
+    run_scenario(scenario)
