--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -16,7 +16,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.constants import zones as z
-from pepperlatch.controller.leader_task import LeaderTask
+from pepperlatch.controller.leader_context import LeaderContext
 from pepperlatch.controller.peers import PeerProxy
 from pepperlatch.policy.cancellations import Decision, LeaderView, decide
 from pepperlatch.policy.cluster import SILENT, SILENT_CANCELLED
@@ -52,10 +52,10 @@
     """
 
     def __init__(
-        self, leader_task: LeaderTask, workers: WorkerClient, peers: PeerProxy,
+        self, context: LeaderContext, workers: WorkerClient, peers: PeerProxy,
         on_report: Callable[[Report, float, bool], None],
     ) -> None:  # fmt: skip
-        self._leader_task = leader_task
+        self._context = context
         self._workers = workers
         self._peers = peers
         self._on_report = on_report
@@ -71,9 +71,9 @@
         retried,
         and keep the leader from renewing its lease. A machine that does not answer goes to the end of the queue.
         """
-        while not self._leader_task.term.over:
+        while not self._context.term.over:
             async with self._fencing:
-                if machine.name not in self._leader_task.cluster.unverified or self._leader_task.term.over:
+                if machine.name not in self._context.cluster.unverified or self._context.term.over:
                     return
                 with contextlib.suppress(NotSent, NoUsableResponse):
                     executed, report = await self._show_token(machine, max(1, machine.session))
@@ -88,21 +88,21 @@
 
         Returns whether the worker executed the command, and its report. Raises Lost if nobody reaches the machine.
         """
-        through_others, sent = False, self._leader_task.clock()
+        through_others, sent = False, self._context.clock()
         try:
             executed, report = await self._workers.command(
-                machine.addr, self._leader_task.term.token, session, [], c.FENCE_TIMEOUT_S
+                machine.addr, self._context.term.token, session, [], c.FENCE_TIMEOUT_S
             )
         except (NotSent, NoUsableResponse):
             machine.fence_failed = True
-            fenced = await self._peers.fence(machine.addr, machine.zone, self._leader_task.term.token, session)
+            fenced = await self._peers.fence(machine.addr, machine.zone, self._context.term.token, session)
             executed, report, through_others = fenced.executed, fenced.report, True
-        self._leader_task.command_loop.enqueue(lambda: self._on_fence_result(machine, report, sent, through_others))
+        self._context.command_loop.enqueue(lambda: self._on_fence_result(machine, report, sent, through_others))
         return executed, report
 
     def _on_fence_result(self, machine: Machine, report: Report, sent: float, through_others: bool) -> None:
         if through_others:
-            machine.relay_until = self._leader_task.clock() + c.FORWARD_PERIOD_S
+            machine.relay_until = self._context.clock() + c.FORWARD_PERIOD_S
         self._on_report(report, sent, through_others)
 
     # --- silent machines --------------------------------------------------------------------------
@@ -113,7 +113,7 @@
         Called every `TICK_S` by the leader. While the lease is not valid, only machines that may hold a cancelled task
         are released, and those that never came up.
         """
-        cluster, planner = self._leader_task.cluster, self._leader_task.planner
+        cluster, planner = self._context.cluster, self._context.planner
         late = self._late_machines(now)
         self._update_zones(late, now)
         silent = [m for m in late if m.last_report_at >= 0 or m.fence_failed or m.name not in cluster.unverified]
@@ -122,7 +122,7 @@
         for machine in self._worth_probing(silent):
             if not machine.probing:
                 machine.probing = True
-                self._leader_task.spawn(self._probe, machine)
+                self._context.spawn(self._probe, machine)
         zones = {m.zone for m in cluster.machines.values()}
         kept_zones = {zone for zone in zones if planner.zones.keeps_machines(zone, now)}
         elsewhere = sum(1 for m in silent if m.zone not in kept_zones)
@@ -145,19 +145,19 @@
             cluster.dirty = True
 
     def _boot_overdue(self, machine: Machine, now: float) -> bool:
-        return now - machine.created_at > self._leader_task.cluster.boot_times.give_up_after_s(machine.type)
+        return now - machine.created_at > self._context.cluster.boot_times.give_up_after_s(machine.type)
 
     def _give_up(self, late: list[Machine], many_silent: bool, now: float) -> None:
         """Release those of the late machines that are to be given up."""
-        planner = self._leader_task.planner
+        planner = self._context.planner
         budget = LostZoneBudget(planner.zones, bool(planner.demands))
         for machine in late:
             if self._should_give_up(machine, many_silent, now) and budget.allows(machine.zone):
-                self._leader_task.cluster.release(machine, SILENT)
+                self._context.cluster.release(machine, SILENT)
 
     def _update_zones(self, late: list[Machine], now: float) -> None:
         """Tell the planner for each zone how many machines are up and late, and whether a controller there answers."""
-        cluster, settings = self._leader_task.cluster, self._leader_task.settings
+        cluster, settings = self._context.cluster, self._context.settings
         up = Counter(m.zone for m in cluster.machines.values() if m.status is Status.UP)
         lost = Counter(m.zone for m in late)
         answers: dict[str, bool] = {settings.zone: True}
@@ -165,14 +165,14 @@
             heard_at = max(cluster.peer_answered_at.get(peer.node, cluster.started), cluster.started)
             answers[peer.zone] = answers.get(peer.zone, False) or now - heard_at <= z.CONTROLLER_ANSWER_VALID_S
         for zone in settings.params.zones:
-            self._leader_task.planner.observe_zone(zone, ZoneObservation(up[zone], lost[zone], answers.get(zone)), now)
+            self._context.planner.observe_zone(zone, ZoneObservation(up[zone], lost[zone], answers.get(zone)), now)
 
     def _worth_probing(self, silent: list[Machine]) -> list[Machine]:
         """Return all silent machines, but only a few in each cut-off zone: those with the fewest probes so far."""
-        zones, out = self._leader_task.planner.zones, []
+        zones, out = self._context.planner.zones, []
         cut: dict[str, list[Machine]] = {}
         for machine in silent:
-            if zones.partitioned(machine.zone) and machine.name not in self._leader_task.cluster.unverified:
+            if zones.partitioned(machine.zone) and machine.name not in self._context.cluster.unverified:
                 cut.setdefault(machine.zone, []).append(machine)
             else:
                 out.append(machine)
@@ -186,7 +186,7 @@
         Hundreds are fenced one after the other. A machine that has not been tried yet counts in the state of its zone,
         but is not treated as silent itself.
         """
-        cluster, report_s = self._leader_task.cluster, self._leader_task.settings.params.workers.report_s
+        cluster, report_s = self._context.cluster, self._context.settings.params.workers.report_s
         least_s = min(c.FENCE_SILENT_S, c.SILENT_REPORTS * report_s)
         out = []
         for machine in cluster.machines.values():
@@ -204,12 +204,12 @@
         While no other controller can be asked, a network cut looks like a dead machine. Then only the end of the
         machine's lease decides, after which nothing runs there any more. After `MAX_SILENCE_S` it is always given up.
         """
-        if now - max(machine.last_report_at, self._leader_task.cluster.started) > c.MAX_SILENCE_S:
+        if now - max(machine.last_report_at, self._context.cluster.started) > c.MAX_SILENCE_S:
             return True
         fenced = machine.last_report_at < 0  # fencing has been tried twice before
         asked = machine.probes >= (1 if fenced else c.MAX_UNANSWERED_PROBES)
         return not many_silent and (
-            asked or (machine.isolated_probes > 0 and self._leader_task.cluster.lease_over(machine, now))
+            asked or (machine.isolated_probes > 0 and self._context.cluster.lease_over(machine, now))
         )
 
     def _return_cancelled(self, late: list[Machine], kept_zones: set[str], lease_valid: bool, now: float) -> None:
@@ -217,7 +217,7 @@
 
         Includes machines whose return was decided for another reason and waits for the lease to be valid.
         """
-        cluster, workers = self._leader_task.cluster, self._leader_task.settings.params.workers
+        cluster, workers = self._context.cluster, self._context.settings.params.workers
         seen = LeaderView(cluster.started, lease_valid, self._last_heard_at(), kept_zones)
         unverified_cancelled_since = cluster.unverified_cancelled_since(now)
         leaving = [cluster.machines[name] for name in cluster.to_release if name in cluster.machines]
@@ -231,8 +231,8 @@
 
     def _last_heard_at(self) -> float:
         """Return when any machine or other controller was last heard from, in seconds of the steady clock."""
-        machines = (machine.reached_at for machine in self._leader_task.cluster.machines.values())
-        return max([*machines, *self._leader_task.cluster.peer_answered_at.values()], default=-math.inf)
+        machines = (machine.reached_at for machine in self._context.cluster.machines.values())
+        return max([*machines, *self._context.cluster.peer_answered_at.values()], default=-math.inf)
 
     def _log_decision(self, machine: Machine, since: float, decision: Decision, now: float) -> None:
         """Log the decision about a machine that may hold a cancelled task, once and whenever it changes."""
@@ -250,23 +250,21 @@
         Other controllers are asked to try too if it was never seen, or may be given up after this probe.
         """
         report: Report | None = None
-        sent = self._leader_task.clock()
+        sent = self._context.clock()
         with contextlib.suppress(NotSent, NoUsableResponse):
             report = await self._workers.inspect(machine.addr)
         through_others, heard = False, True
         if report is None and (machine.probes + 1 >= c.MAX_UNANSWERED_PROBES or machine.last_report_at < 0):
             report, heard = await self._peers.inspect(machine.addr, self._witnesses)
             through_others = report is not None
-        self._leader_task.command_loop.enqueue(
-            lambda: self._on_probe_result(machine, report, sent, through_others, heard)
-        )
+        self._context.command_loop.enqueue(lambda: self._on_probe_result(machine, report, sent, through_others, heard))
 
     def _on_probe_result(
         self, machine: Machine, report: Report | None, sent: float, through_others: bool, heard: bool
     ) -> None:  # fmt: skip
         machine.probing = False
         if through_others:  # its reports are forwarded, see Cluster.machines_to_relay
-            machine.relay_until = self._leader_task.clock() + c.FORWARD_PERIOD_S
+            machine.relay_until = self._context.clock() + c.FORWARD_PERIOD_S
         machine.probes += heard
         machine.isolated_probes += not heard
         if report is not None:
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -17,7 +17,7 @@
 from pepperlatch.controller import store
 from pepperlatch.controller.command_loop import CommandLoop, Reply
 from pepperlatch.controller.health import Health
-from pepperlatch.controller.leader_task import LeaderTask
+from pepperlatch.controller.leader_context import LeaderContext
 from pepperlatch.controller.leadership import Term, renewal_deadline
 from pepperlatch.controller.peers import PeerProxy
 from pepperlatch.controller.records import Records
@@ -97,12 +97,12 @@
         self.planner = Planner(self.cluster, OperatorSettings(replica.tuning[0]))
         self._tuning_version = replica.tuning[1]
         self.writer = Writer(state, term, settings.params.state.txn_ops)
-        self._leader_task = LeaderTask(
+        self._context = LeaderContext(
             settings, term, replica, command_loop, clock, wall, self.cluster, self.planner, self.writer
         )
-        self._rentals = Rentals(self._leader_task, cloud)
-        self._records = Records(self._leader_task, self._rentals.drop_from_hires)
-        self._health = Health(self._leader_task, workers, peers, self._direct_report)
+        self._rentals = Rentals(self._context, cloud)
+        self._records = Records(self._context, self._rentals.drop_from_hires)
+        self._health = Health(self._context, workers, peers, self._direct_report)
         self.ready = False  # whether the records are loaded; heartbeats are refused until then
         self._heartbeats: list[_PendingHeartbeats] = []
         self._rented_at = 0.0
@@ -115,7 +115,7 @@
     async def run(self) -> None:
         """Read the recorded fleet, take over, and run the background tasks until the term is over."""
         async with trio.open_nursery() as nursery:
-            self._leader_task.nursery = nursery
+            self._context.nursery = nursery
             fleet_pairs = await self._read_fleet()
             if fleet_pairs is None:
                 return
@@ -187,7 +187,7 @@
         machine.listed = True
         self.cluster.machines[name] = machine
         self.cluster.unverified.add(name)
-        self._leader_task.spawn(self._health.fence, machine)
+        self._context.spawn(self._health.fence, machine)
 
     # --- jobs -------------------------------------------------------------------------------------
 
@@ -417,7 +417,7 @@
                 orders or machine.lost_answers >= c.MAX_LOST_LAUNCH_ANSWERS
             ):  # an empty command shows whether it receives from us again
                 machine.sending = True
-                self._leader_task.spawn(self._command, machine, machine.session, orders, launched)
+                self._context.spawn(self._command, machine, machine.session, orders, launched)
 
     async def _command(self, machine: Machine, session: int, orders: list[dict[str, Any]], launched: list[Any]) -> None:
         """Send orders to one worker and enqueue the result. After a failure the next command waits for a pause.
--- a/pepperlatch/controller/leader_task.py
+++ b/pepperlatch/controller/leader_context.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class LeaderTask:
+class LeaderContext:
     """The state of one term of leading, and the nursery that its coroutines run in.
 
     `clock` is the node's steady clock, `wall` the time of day, both in seconds. `nursery` is None until `Leader.run`
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -10,7 +10,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
-from pepperlatch.controller.leader_task import LeaderTask
+from pepperlatch.controller.leader_context import LeaderContext
 from pepperlatch.controller.writer import Write
 from pepperlatch.policy.fleet import Offer
 from pepperlatch.policy.model import Machine, Status
@@ -27,8 +27,8 @@
     request has no answer it holds "" in their place.
     """
 
-    def __init__(self, leader_task: LeaderTask, cloud: CloudClient) -> None:
-        self._leader_task = leader_task
+    def __init__(self, context: LeaderContext, cloud: CloudClient) -> None:
+        self._context = context
         self._cloud = cloud
         self._hire_count = 0
         self._open_hires: dict[str, set[str]] = {}
@@ -39,25 +39,25 @@
 
         The rest is requested in later calls, together with what is wanted by then.
         """
-        free = c.MAX_CONCURRENT_HIRES - len(self._leader_task.planner.requested)
+        free = c.MAX_CONCURRENT_HIRES - len(self._context.planner.requested)
         if free <= 0:
             return
-        chosen = Counter(self._leader_task.planner.offers_to_rent(now))
+        chosen = Counter(self._context.planner.offers_to_rent(now))
         for offer, count in chosen.most_common(free):
             self._hire(offer, count)
 
     def _hire(self, offer: Offer, count: int) -> None:
         """Record the hire under a name of its own, then request it; a later leader repeats what is recorded."""
         self._hire_count += 1
-        name = f"{self._leader_task.settings.node}-{self._leader_task.term.token}-{self._hire_count}"
-        self._leader_task.planner.requested[offer] += count
+        name = f"{self._context.settings.node}-{self._context.term.token}-{self._hire_count}"
+        self._context.planner.requested[offer] += count
         record = store.HireRecord(offer.type, offer.zone, offer.spot, count)
         self._open_hires[name] = {""}
 
         def on_outcome(applied: bool) -> None:
-            self._leader_task.spawn(self._request_hire, name, record)
+            self._context.spawn(self._request_hire, name, record)
 
-        self._leader_task.writer.add(Write([wire.put(store.HIRE + name, wire.to_plain(record))], on_outcome))
+        self._context.writer.add(Write([wire.put(store.HIRE + name, wire.to_plain(record))], on_outcome))
 
     def repeat_hire(self, name: str, record: store.HireRecord) -> None:
         """Repeat a hire that an earlier leader recorded.
@@ -65,19 +65,19 @@
         The cloud answers a repeated name as it did before, or rents the machines now if the request was lost.
         """
         offer = Offer(record.type, record.zone, record.spot)
-        if record.type in self._leader_task.cluster.types:
-            self._leader_task.planner.requested[offer] += record.count
+        if record.type in self._context.cluster.types:
+            self._context.planner.requested[offer] += record.count
         self._open_hires[name] = {""}
-        self._leader_task.spawn(self._request_hire, name, record)
+        self._context.spawn(self._request_hire, name, record)
 
     async def _request_hire(self, name: str, record: store.HireRecord) -> None:
         """Request a hire until the cloud answers or the term is over, and only while the leader's lease is valid."""
         offer = Offer(record.type, record.zone, record.spot)
         names: list[str] | None = []
-        while not self._leader_task.term.over:
-            while not self._leader_task.term.lease_valid(self._leader_task.clock()):
+        while not self._context.term.over:
+            while not self._context.term.lease_valid(self._context.clock()):
                 await trio.sleep(c.STATE_RETRY_S)
-                if self._leader_task.term.over:
+                if self._context.term.over:
                     return
             try:
                 names = await self._cloud.hire(name, record.type, record.zone, record.spot, record.count)
@@ -88,19 +88,19 @@
                 await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
                 continue
             break
-        self._leader_task.command_loop.enqueue(lambda: self._on_hired(name, offer, record.count, names))
+        self._context.command_loop.enqueue(lambda: self._on_hired(name, offer, record.count, names))
 
     def _on_hired(self, hire: str, offer: Offer, count: int, names: list[str] | None) -> None:
         """Take in the answer to a hire: the names of the machines, or None if the cloud has no capacity."""
-        now = self._leader_task.clock()
-        self._leader_task.planner.requested[offer] -= count
-        if self._leader_task.planner.requested[offer] <= 0:
-            del self._leader_task.planner.requested[offer]
+        now = self._context.clock()
+        self._context.planner.requested[offer] -= count
+        if self._context.planner.requested[offer] <= 0:
+            del self._context.planner.requested[offer]
         if names is None or len(names) < count:
-            self._leader_task.planner.offer_refused(offer, now)
+            self._context.planner.offer_refused(offer, now)
         else:
-            self._leader_task.planner.offer_granted(offer)
-        kind = self._leader_task.cluster.types.get(offer.type)
+            self._context.planner.offer_granted(offer)
+        kind = self._context.cluster.types.get(offer.type)
         log.info(
             "hired machines %s of %d requested: type %s, zone %s%s",
             names,
@@ -111,10 +111,10 @@
         )
         unrecorded = {""}
         for name in names or []:
-            known = self._leader_task.cluster.machines.get(name)
+            known = self._context.cluster.machines.get(name)
             if (
                 kind is None
-                or name in self._leader_task.cluster.removed_machines
+                or name in self._context.cluster.removed_machines
                 or (known is not None and known.status is not Status.BOOTING)
             ):
                 continue
@@ -123,11 +123,11 @@
                 known.unexpected = False
             else:
                 machine = Machine(name, kind, offer.zone, offer.spot, "", Status.BOOTING, now)
-                self._leader_task.cluster.machines[name] = machine
-                self._leader_task.cluster.listener.machine(machine, "hired", "", now)
+                self._context.cluster.machines[name] = machine
+                self._context.cluster.listener.machine(machine, "hired", "", now)
         self._open_hires[hire] = unrecorded
         self.drop_from_hires("")
-        self._leader_task.cluster.dirty = True
+        self._context.cluster.dirty = True
 
     def drop_from_hires(self, name: str) -> None:
         """Note that a machine is recorded or gone, and delete each hire's record that no machine needs any more."""
@@ -135,16 +135,16 @@
             names.discard(name)
             if not names:
                 del self._open_hires[hire]
-                self._leader_task.writer.add(Write([wire.delete(store.HIRE + hire)], lambda ok: None))
+                self._context.writer.add(Write([wire.delete(store.HIRE + hire)], lambda ok: None))
 
     # --- types, lists and returns -----------------------------------------------------------------
 
     async def types_loop(self) -> None:
         """Read machine types and prices every `PRICE_POLL_INTERVAL_S`."""
-        while not self._leader_task.term.over:
+        while not self._context.term.over:
             try:
                 types = await self._cloud.types()
-                self._leader_task.command_loop.enqueue(lambda t=types: self._on_types(t))  # type: ignore[misc]
+                self._context.command_loop.enqueue(lambda t=types: self._on_types(t))  # type: ignore[misc]
                 await trio.sleep(c.PRICE_POLL_INTERVAL_S)
             except CloudError:
                 await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
@@ -152,63 +152,63 @@
     def _on_types(self, types: list[wire.MachineType]) -> None:
         """Take in types and prices; types are recorded for nodes that start while the cloud is unavailable."""
         for kind in types:
-            known = self._leader_task.cluster.types.get(kind.name)
+            known = self._context.cluster.types.get(kind.name)
             if known is not None:
                 known.price, known.spot_price, known.zones = kind.price, kind.spot_price, kind.zones
             else:
-                self._leader_task.cluster.types[kind.name] = kind
-                self._leader_task.cluster.dirty = True
-        held = {kind.name: kind.zones for kind in self._leader_task.replica.types}
+                self._context.cluster.types[kind.name] = kind
+                self._context.cluster.dirty = True
+        held = {kind.name: kind.zones for kind in self._context.replica.types}
         if held != {kind.name: kind.zones for kind in types}:
-            value_kb = self._leader_task.settings.params.state.value_kb
-            for change in store.type_changes(types, len(self._leader_task.replica.type_pieces), value_kb):
-                self._leader_task.writer.add(Write([change], lambda ok: None))
+            value_kb = self._context.settings.params.state.value_kb
+            for change in store.type_changes(types, len(self._context.replica.type_pieces), value_kb):
+                self._context.writer.add(Write([change], lambda ok: None))
 
     async def list_loop(self) -> None:
         """Read the list of rented machines every `CLOUD_LIST_INTERVAL_S`."""
-        while not self._leader_task.term.over:
+        while not self._context.term.over:
             try:
                 listed = await self._cloud.machines()
-                self._leader_task.command_loop.enqueue(lambda x=listed: self._on_list(x))  # type: ignore[misc]
+                self._context.command_loop.enqueue(lambda x=listed: self._on_list(x))  # type: ignore[misc]
             except CloudError as error:
                 log.info("reading the cloud's list of machines failed, trying again: %s", error)
             await trio.sleep(c.CLOUD_LIST_INTERVAL_S)
 
     def _on_list(self, listed: list[wire.ListedMachine]) -> None:
         """Take in the cloud's list: add unknown machines, release failed ones and those that vanish while booting."""
-        now = self._leader_task.clock()
+        now = self._context.clock()
         names = {item.name for item in listed}
         for item in listed:
-            machine = self._leader_task.cluster.machines.get(item.name)
-            kind = self._leader_task.cluster.types.get(item.type)
-            if machine is None and kind is not None and item.name not in self._leader_task.cluster.removed_machines:
+            machine = self._context.cluster.machines.get(item.name)
+            kind = self._context.cluster.types.get(item.type)
+            if machine is None and kind is not None and item.name not in self._context.cluster.removed_machines:
                 log.info("the cloud lists machine %s, which this leader does not know: adding it", item.name)
                 machine = Machine(
                     item.name, kind, item.zone, item.spot, item.addr or "", Status.BOOTING, now - item.age_s
                 )
-                self._leader_task.cluster.machines[item.name] = machine
-                self._leader_task.cluster.dirty = True
+                self._context.cluster.machines[item.name] = machine
+                self._context.cluster.dirty = True
             if machine is not None:
                 machine.listed = True
                 if machine.status is Status.BOOTING:  # a repeated hire or a report does not tell its age
                     machine.created_at = min(machine.created_at, now - item.age_s)
                 if item.state == wire.LISTED_FAILED:
-                    self._leader_task.cluster.release(machine, "failed")
-        lag_s = self._leader_task.settings.params.cloud.list_lag_s * c.LIST_LAG_FACTOR + c.CLOUD_LIST_INTERVAL_S
-        for machine in list(self._leader_task.cluster.machines.values()):
+                    self._context.cluster.release(machine, "failed")
+        lag_s = self._context.settings.params.cloud.list_lag_s * c.LIST_LAG_FACTOR + c.CLOUD_LIST_INTERVAL_S
+        for machine in list(self._context.cluster.machines.values()):
             if (
                 machine.name not in names
                 and machine.status is Status.BOOTING
                 and (machine.listed or now - machine.created_at > 2 * lag_s)
             ):
-                self._leader_task.cluster.release(machine, "not listed any more")
+                self._context.cluster.release(machine, "not listed any more")
 
     async def release_loop(self) -> None:
         """Return released machines while the lease is valid; a request without an answer delays those behind it."""
-        while not self._leader_task.term.over:
+        while not self._context.term.over:
             await trio.sleep(c.TICK_S / 5)
-            names = sorted(self._leader_task.cluster.to_release)[: c.MAX_NAMES_PER_RELEASE]
-            if names and self._leader_task.term.lease_valid(self._leader_task.clock()):
+            names = sorted(self._context.cluster.to_release)[: c.MAX_NAMES_PER_RELEASE]
+            if names and self._context.term.lease_valid(self._context.clock()):
                 await self._release(names)
 
     async def release_cancelled_loop(self) -> None:
@@ -217,31 +217,31 @@
         Their time is short, so they don't wait behind the requests of `release_loop`. Why this needs no lease is said
         in `docs/safety.md`, "Machines that hang".
         """
-        while not self._leader_task.term.over:
+        while not self._context.term.over:
             await trio.sleep(c.TICK_S / 5)
-            machines = self._leader_task.cluster.machines
-            names = [name for name in self._leader_task.cluster.to_release if name in machines]
+            machines = self._context.cluster.machines
+            names = [name for name in self._context.cluster.to_release if name in machines]
             urgent = sorted(name for name in names if not machines[name].return_needs_lease)[: c.MAX_NAMES_PER_RELEASE]
             if urgent:
                 await self._release(urgent)
 
     async def _release(self, names: list[str]) -> None:
         """Ask the cloud to take machines back; after an error they stay in `Cluster.to_release` to be tried again."""
-        self._leader_task.cluster.release_requested.update(names)
+        self._context.cluster.release_requested.update(names)
         try:
             await self._cloud.release(names)
-            self._leader_task.command_loop.enqueue(lambda: self._on_released(names))
-            self._leader_task.cluster.to_release.difference_update(names)
+            self._context.command_loop.enqueue(lambda: self._on_released(names))
+            self._context.cluster.to_release.difference_update(names)
         except CloudError as error:
             log.info("returning machines to the cloud failed, trying again: %s", error)
             await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
 
     def _on_released(self, names: list[str]) -> None:
-        now = self._leader_task.clock()
+        now = self._context.clock()
         for name in names:
-            machine = self._leader_task.cluster.machines.get(name)
+            machine = self._context.cluster.machines.get(name)
             if machine is not None:
-                self._leader_task.planner.offer_granted(Offer(machine.type.name, machine.zone, machine.spot))
-            self._leader_task.cluster.remove_machine(name, now)
-            self._leader_task.writer.add(Write([wire.delete(store.MACHINE + name)], lambda ok: None))
+                self._context.planner.offer_granted(Offer(machine.type.name, machine.zone, machine.spot))
+            self._context.cluster.remove_machine(name, now)
+            self._context.writer.add(Write([wire.delete(store.MACHINE + name)], lambda ok: None))
             self.drop_from_hires(name)
--- a/tests/cuts/test_sessions.py
+++ b/tests/cuts/test_sessions.py
@@ -170,15 +170,15 @@
         await trio.sleep(7)
         leader = world.nodes[world.leader()].leader
         assert leader is not None
-        deferred, nursery = DeferredNursery([]), leader._leader_task.nursery
-        leader._leader_task.nursery = deferred  # type: ignore[assignment]
+        deferred, nursery = DeferredNursery([]), leader._context.nursery
+        leader._context.nursery = deferred  # type: ignore[assignment]
         sweep = job(1, pieces=1)
         await world.submit(sweep)
         await world.until(lambda: bool(deferred.calls), 5)
         home.tasks.clear()
         home.session += 1
         leader._direct_report(wire.convert(home.report(), Report), trio.current_time())
-        leader._leader_task.nursery = nursery
+        leader._context.nursery = nursery
         for task, *args in deferred.calls:
             await task(*args)
         assert not home.tasks, "the launch was meant for the earlier session"
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -183,11 +183,11 @@
         one.last_report_at = -1.0
         cluster.unverified.add(one.name)
     cluster.machines["n-0"].fence_failed = True
-    leader_task: Any = SimpleNamespace(
+    context: Any = SimpleNamespace(
         cluster=cluster, planner=planner, settings=settings_of(0), spawn=lambda task, one: probed.append(one.name)
     )  # fmt: skip
     unused: Any = None
-    Health(leader_task, unused, unused, unused).check(c.FENCE_SILENT_S + 0.5, lease_valid=True)
+    Health(context, unused, unused, unused).check(c.FENCE_SILENT_S + 0.5, lease_valid=True)
     assert planner.zones.partitioned("c") and probed == ["n-0"]
 
 
