--- a/pepperlatch/controller/__init__.py
+++ b/pepperlatch/controller/__init__.py
@@ -1,1 +1,1 @@
-"""A controller node: its state, who leads, what a leader does, what users and operators ask."""
+"""A controller: its state, leader election, the work of leaders and followers, and what it serves to others."""
--- a/pepperlatch/controller/attestation.py
+++ b/pepperlatch/controller/attestation.py
@@ -80,17 +80,17 @@
         return Response(200, wire.to_plain(self._attest(request)))
 
     def _attest(self, request: AttestationRequest) -> Attestation:
-        """Return the cancellations that this node knows since the requested revision,
-        at most about `MAX_ATTESTED_CANCELLATIONS`.
+        """Return the cancellations since the requested revision that this node knows.
+
+        At most about `MAX_ATTESTED_CANCELLATIONS` are returned, the earliest ones.
         """
         leader_key, term = self._replica.leader, self._leadership.term
         leads = [term.token] if term is not None and not term.over else []
         token = max([leader_key[1] if leader_key is not None else 0, *leads])
         found = self._replica.cancelled_since(request.revision)
         shown = found or []
-        last = (
-            shown[: c.MAX_ATTESTED_CANCELLATIONS][-1][0] if shown else 0
-        )  # one revision may cancel several jobs: send all or none
+        # One revision may cancel several jobs: all of them are sent, or none.
+        last = shown[: c.MAX_ATTESTED_CANCELLATIONS][-1][0] if shown else 0
         rows = [
             CancelledJob(job_id, wire.to_plain(self._replica.jobs[job_id].record), version)
             for version, job_id in shown
@@ -140,8 +140,8 @@
         async with trio.open_nursery() as nursery:
             for peer in self._peers:
                 nursery.start_soon(collect, peer)
-        # A controller that knows only an earlier leader lacks news, which is harmless. A leader elected after this
-        # counts from its own election.
+        # A controller that knows only an earlier leader is merely behind, which is harmless. A leader that is elected
+        # after this call counts from its own election.
         if any(attestation.token > term.token for attestation in attestations):
             log.info("another controller knows a leader with a token higher than %d; ending this term", term.token)
             term.over = True
@@ -152,8 +152,7 @@
         """Notify the leader of a confirmed cancellation before the user is answered, so that it starts no such task.
 
         Usually takes a few ms, at most `CANCEL_NOTIFY_TIMEOUT_S`. A leader that does not answer learns of it from its
-        watch. If this is
-        cancelled, the leader may have been notified or not.
+        watch. If this is cancelled, the leader may have been notified or not.
         """
         leader_key = self._replica.leader
         peer = next((p for p in self._peers if leader_key is not None and p.node == leader_key[0]), None)
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -80,7 +80,7 @@
         self._images = images
         self._leader = leader
         self._leaderless = leaderless
-        self._images_received = (0, 0)  # token of the leader, and the last of its numbers that this node has
+        self._images_received = (0, 0)  # token of the leader, and number of the last image use received from it
         self._progress_cache: tuple[int, float, dict[str, Any]] = (0, float("-inf"), {})  # token, time made, rows
         self._peer_answered_at = float("-inf")
 
@@ -177,10 +177,9 @@
         return ""
 
     def _isolated(self, leader: Leader) -> bool:
-        """Whether no report, direct or forwarded, and no answer of a peer came for HANDOVER_SILENT_REPORTS report
-        intervals.
+        """Whether no report and no answer of a peer has come for HANDOVER_SILENT_REPORTS report intervals.
 
-        Never if no machine is up.
+        Reports count whether direct or forwarded. False while no machine is up.
         """
         machines = [m for m in leader.cluster.machines.values() if m.status is Status.UP]
         since = max([leader.cluster.started, self._peer_answered_at, *(m.last_report_at for m in machines)])
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -73,7 +73,7 @@
         lease_extension_s = lease_extension_seconds(params.workers.cancel_s, params.workers.lease_s)
         self.leadership = Leadership(settings.node, self.state, self.replica, lease_extension_s, clock, seed)
         self.attestation = PeerAttestation(network, settings.peers, self.watcher, self.leadership, clock)
-        self.command_loop = CommandLoop(self._settle, c.TICK_S / 5)
+        self.command_loop = CommandLoop(self._after_batch, c.TICK_S / 5)
         self.heartbeats = HeartbeatHandler(
             settings,
             network,
@@ -102,7 +102,7 @@
         self.leader: Leader | None = None
         self._nursery: trio.Nursery | None = None
         self._outage_is_local = False  # a peer reaches the state service, or none has answered for ISOLATED_ROUNDS
-        self._unanswered_rounds = 0  # consecutive rounds of questions in which no peer answered
+        self._unanswered_rounds = 0  # consecutive rounds of health requests in which no peer answered
 
     # --- lifecycle --------------------------------------------------------------------------------
 
@@ -145,8 +145,8 @@
         if leader is not None and not leader.term.over:
             self.command_loop.enqueue(lambda: leader.on_jobs(touched))
 
-    def _settle(self) -> None:
-        """Called by the owner after each batch of commands."""
+    def _after_batch(self) -> None:
+        """Called by the command loop after each batch of commands."""
         if self.leader is not None:
             self.leader.after_batch()
 
@@ -166,8 +166,8 @@
         """Answer the load balancer: 503 while nothing is loaded, or if only this node has lost the state service.
 
         In an outage of the state service that affects all controllers, they stay healthy. A node that reaches neither
-        the state service nor any other controller counts as isolated and is unhealthy: it would otherwise keep its
-        users for as long as that lasts, and could answer none of them.
+        the state service nor any other controller counts as isolated and is unhealthy: the load balancer would
+        otherwise send it users for as long as that lasts, and it could answer none of them.
         """
         knows_types = bool(self.replica.types or self.users.types)
         healthy = (self.replica.loaded and knows_types and self._state_service_good()) or not self._outage_is_local
@@ -209,7 +209,7 @@
         return await self.extensions.handle(request, operators=True) or await self.admin.handle(request)
 
     async def _serve_forwarded(self, request: Request) -> Response:
-        """Heartbeats that another controller forwards, one or a batch. A malformed request is refused as a whole."""
+        """Answer heartbeats that another controller forwards, one or a batch; 400 for the whole if it is malformed."""
         try:
             plain = orjson.loads(request.body)
             if request.path == PEER_HEARTBEAT:
--- a/pepperlatch/controller/extensions.py
+++ b/pepperlatch/controller/extensions.py
@@ -108,7 +108,7 @@
         return None
 
     def listener(self, leader: "Leader") -> Listener:
-        """One listener for the term that stands for those of all extensions."""
+        """One listener for the term, which passes each event to the listeners of all extensions."""
         listeners: list[tuple[str, Listener]] = []
         for extension in self._extensions:
             try:
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -60,16 +60,16 @@
         self._peers = peers
         self._on_report = on_report
         self._fencing = trio.CapacityLimiter(c.MAX_CONCURRENT_FENCES)
-        self._witnesses: list[str] = []  # addresses that others try too, to know whether they are cut off themselves
+        self._witnesses: list[str] = []  # addresses that other controllers try, to know whether they are cut off
 
     # --- fencing ----------------------------------------------------------------------------------
 
     async def fence(self, machine: Machine) -> None:
-        """Show the machine our token, so that no earlier leader can command it any more; retry until that succeeds.
+        """Show the machine this term's token, so that no earlier leader can command it; retry until that succeeds.
 
-        At most `MAX_CONCURRENT_FENCES` run at once. Hundreds would miss their deadlines on our share of a core, be
-        retried,
-        and keep the leader from renewing its lease. A machine that does not answer goes to the end of the queue.
+        At most `MAX_CONCURRENT_FENCES` run at once. Hundreds would miss their deadlines on the leader's share of a
+        core, be retried, and keep the leader from renewing its lease. A machine that does not answer goes to the end of
+        the queue.
         """
         while not self._context.term.over:
             async with self._fencing:
@@ -84,9 +84,11 @@
             await trio.sleep(c.FENCE_RETRY_S)
 
     async def _show_token(self, machine: Machine, session: int) -> tuple[bool, Report]:
-        """Show our token directly, or else through another controller, which then forwards the machine's reports.
+        """Show this term's token directly, or else through another controller.
+
+        Another controller that succeeds then forwards the machine's reports. Returns whether the worker executed the
+        command, and its report. Raises NoUsableResponse if no controller reaches the machine.
 
-        Returns whether the worker executed the command, and its report. Raises Lost if nobody reaches the machine.
         """
         through_others, sent = False, self._context.clock()
         try:
@@ -181,10 +183,10 @@
         return out
 
     def _late_machines(self, now: float) -> list[Machine]:
-        """Return machines without a report for long; right after taking over sooner, since fencing asks every machine.
+        """Return the late machines; one that is being fenced and has not reported in this term is late sooner.
 
-        Hundreds are fenced one after the other. A machine that has not been tried yet counts in the state of its zone,
-        but is not treated as silent itself.
+        Fencing asks every machine, hundreds one after the other. A machine that has not been tried yet counts in the
+        state of its zone, but is not treated as silent itself.
         """
         cluster, report_s = self._context.cluster, self._context.settings.params.workers.report_s
         least_s = min(c.FENCE_SILENT_S, c.SILENT_REPORTS * report_s)
@@ -207,9 +209,9 @@
         if now - max(machine.last_report_at, self._context.cluster.started) > c.MAX_SILENCE_S:
             return True
         fenced = machine.last_report_at < 0  # fencing has been tried twice before
-        asked = machine.probes >= (1 if fenced else c.MAX_UNANSWERED_PROBES)
+        probed_enough = machine.probes >= (1 if fenced else c.MAX_UNANSWERED_PROBES)
         return not many_silent and (
-            asked or (machine.isolated_probes > 0 and self._context.cluster.lease_over(machine, now))
+            probed_enough or (machine.isolated_probes > 0 and self._context.cluster.lease_over(machine, now))
         )
 
     def _return_cancelled(self, late: list[Machine], kept_zones: set[str], lease_valid: bool, now: float) -> None:
@@ -253,20 +255,22 @@
         sent = self._context.clock()
         with contextlib.suppress(NotSent, NoUsableResponse):
             report = await self._workers.inspect(machine.addr)
-        through_others, heard = False, True
+        through_others, conclusive = False, True
         if report is None and (machine.probes + 1 >= c.MAX_UNANSWERED_PROBES or machine.last_report_at < 0):
-            report, heard = await self._peers.inspect(machine.addr, self._witnesses)
+            report, conclusive = await self._peers.inspect(machine.addr, self._witnesses)
             through_others = report is not None
-        self._context.command_loop.enqueue(lambda: self._on_probe_result(machine, report, sent, through_others, heard))
+        self._context.command_loop.enqueue(
+            lambda: self._on_probe_result(machine, report, sent, through_others, conclusive)
+        )
 
     def _on_probe_result(
-        self, machine: Machine, report: Report | None, sent: float, through_others: bool, heard: bool
+        self, machine: Machine, report: Report | None, sent: float, through_others: bool, conclusive: bool
     ) -> None:  # fmt: skip
         machine.probing = False
         if through_others:  # its reports are forwarded, see Cluster.machines_to_relay
             machine.relay_until = self._context.clock() + c.FORWARD_PERIOD_S
-        machine.probes += heard
-        machine.isolated_probes += not heard
+        machine.probes += conclusive
+        machine.isolated_probes += not conclusive
         if report is not None:
             machine.probes = machine.isolated_probes = 0
             self._on_report(report, sent, through_others)
--- a/pepperlatch/controller/heartbeats/delegation.py
+++ b/pepperlatch/controller/heartbeats/delegation.py
@@ -67,7 +67,7 @@
         return False
 
     def on_forwarded(self, report: Report) -> None:
-        """The heartbeat is about to be forwarded to the leader: release the machine's earlier grant."""
+        """Release the machine's earlier grant, since the heartbeat is about to be forwarded to the leader."""
         self._release(report.machine)
         self._forwarded[report.machine] = report
 
@@ -144,7 +144,7 @@
 
 
 def _same_content(one: Report, other: Report) -> bool:
-    """Whether both heartbeats say the same of the machine apart from their sequence numbers, and no reclaim notice."""
+    """Whether both heartbeats are equal apart from their sequence numbers, and neither has a reclaim notice."""
     return (
         one.notice_s is None
         and other.notice_s is None
--- a/pepperlatch/controller/heartbeats/forwarding.py
+++ b/pepperlatch/controller/heartbeats/forwarding.py
@@ -1,8 +1,8 @@
 """Forwarding of workers' reports to the leader, in batches when they come faster than it answers.
 
-Reading a request costs a leader on a third of a core more than the report in it. While few reports come, each is sent
-at once and by itself. While requests are in flight the others are queued and share the next request, so that the work
-of a slow leader grows with the reports' bytes, not with their number.
+On a leader with a third of a core, reading a request costs more than the report in it. While few reports come, each is
+sent at once and by itself. While requests are in flight the others are queued and share the next request, so that the
+work of a slow leader grows with the reports' bytes, not with their number.
 """
 
 from collections import deque
@@ -52,7 +52,8 @@
     async def forward(self, addr: str, plain: Any, seconds: float) -> Answer:
         """Status and answer for one report, as if it had been sent by itself; waits at most `seconds`.
 
-        Raises NotSent or NoUsableResponse. If cancelled or Lost, the leader may have processed the report.
+        Raises NotSent or NoUsableResponse. After NoUsableResponse or a cancellation, the leader may have processed the
+        report.
         """
         item = _PendingReport(addr, plain)
         self._queue.append(item)
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -47,8 +47,8 @@
 class HeartbeatHandler:
     """Answers reports in any role.
 
-    `hold_s`: seconds for which leases may be renewed on a proof of leadership; `leader` returns the node's `Leader`
-    while it leads, else None.
+    `lease_extension_s`: seconds for which leases may be renewed after a proof of leadership; `leader` returns the
+    node's `Leader` while it leads, else None.
     """
 
     def __init__(
@@ -97,8 +97,8 @@
     async def _answer(self, report: Report, plain: Any, deadline: float) -> Response:
         """Answer the report, retrying until the deadline with whoever leads by then.
 
-        A worker that is sent away without a better controller to go to would lose time. `plain`: the report as decoded
-        from JSON, to be forwarded as it came.
+        A worker that is redirected although no better controller is known would lose time, so this retries instead.
+        `plain`: the report as decoded from JSON, to be forwarded as it came.
         """
         while True:
             known_leader = self._replica.leader
@@ -136,9 +136,8 @@
     async def answer_all_as_leader(self, reports: list[Report], follower: str = "") -> list[HeartbeatAnswer]:
         """As the leader: an answer for each of the reports, None for those that nobody may answer.
 
-        All are None if this node does not lead, its queue is full, or the owner takes over FORWARD_TIMEOUT_S.
-        `follower`: the
-        controller that forwarded them, if it accepts delegations, else "".
+        All are None if this node does not lead, its queue is full, or the command loop takes over FORWARD_TIMEOUT_S.
+        `follower`: the controller that forwarded them, if it accepts delegations, else "".
         """
         leader = self._leader()
         reply: Reply[list[HeartbeatAnswer]] = Reply()
@@ -182,8 +181,9 @@
     def _try_delegated_answer(self, report: Report, token: int) -> bool:
         """Whether this node may answer the report on the leader's delegation; the answer counts as given then.
 
-        Only while the leader hears this node. Otherwise the report has to find a way to the leader: one that is cut off
-        from its followers only, not from workers, would take the machines that they answer for a lost zone.
+        Only while the leader answers this node's contacts. Otherwise the report has to find a way to the leader: a
+        leader that is cut off from its followers only, not from workers, would take the machines whose reports the
+        followers answer for a lost zone.
         """
         return self.hears_leader() and self.delegated_answers.try_answer(report, token, self._clock())
 
@@ -216,9 +216,9 @@
         """Whether this node may renew the worker's lease on the leader's behalf. Asked when the leader is not reached.
 
         Only while the state service is not reached either, and only for as long as the leader itself might renew it:
-        `hold_s` from the last proof that it leads, and from the last contact that it answered, which is what the leader
-        counts with. Not while a revocation holds, including one that this node may have acknowledged just before it
-        was restarted; and not for a worker that another leader has commanded since.
+        `lease_extension_s` from the last proof that it leads, and from the last contact that it answered, which is what
+        the leader counts with. Not while a revocation holds, including one that this node may have acknowledged just
+        before it was restarted; and not for a worker that another leader has commanded since.
         """
         now, known_leader, contact = self._clock(), self._replica.leader, self.leader_contact
         return (
@@ -240,11 +240,11 @@
         return Response(200, wire.report_answer(report.token, orders))
 
     def revoke_renewal(self, unreached: list[str]) -> dict[str, float]:
-        """The leader is alive: renew no leases on its behalf for DELEGATED_RENEWAL_BAR_S.
+        """Renew no leases on the leader's behalf for DELEGATED_RENEWAL_BAR_S, since it has shown that it is alive.
 
         `unreached`: machines that the leader reaches only through other controllers; their reports are accepted here.
         Returns, by machine, the seconds since its lease was last renewed here (those within two lease times), and under
-        BEGAN the age of this process in seconds.
+        PROCESS_AGE the age of this process in seconds.
         """
         now = self._clock()
         self.routes.accept_locally(unreached, now)
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -110,7 +110,7 @@
         self._pace = RoundPace()
         self._housekeeping_at = 0.0
 
-    # --- life -------------------------------------------------------------------------------------
+    # --- lifecycle --------------------------------------------------------------------------------
 
     async def run(self) -> None:
         """Read the recorded fleet, take over, and run the background tasks until the term is over."""
@@ -135,7 +135,7 @@
     async def _read_fleet(self) -> list[wire.KeyValue] | None:
         """Return all records of hires and machines; None if the term is over.
 
-        They are read once this node's copy includes its own election, again for as long as nothing answers.
+        They are read once this node's copy includes its own election; the read is repeated until it is answered.
         """
         while not self.term.over:
             try:
@@ -170,9 +170,9 @@
             if pair.key.startswith(store.HIRE):
                 self._rentals.repeat_hire(pair.key[len(store.HIRE) :], wire.convert(pair.value, store.HireRecord))
         self.ready = True
-        took = f"took over with {len(cluster.machines)} machines, {len(cluster.jobs)} jobs"
-        log.info("%s", took)
-        cluster.listener.noted("takeover", took, now)
+        summary = f"took over with {len(cluster.machines)} machines, {len(cluster.jobs)} jobs"
+        log.info("%s", summary)
+        cluster.listener.noted("takeover", summary, now)
 
     def _load_machine(self, name: str, record: store.MachineRecord, now: float) -> None:
         """Take over a recorded machine as up, and have it fenced."""
@@ -209,7 +209,7 @@
         cancellation_not_before = self.replica.cancellation_not_before(cancelled)
         if cancellation_not_before is not None:
             return cancellation_not_before
-        clock_error_s = 2 * self.settings.params.max_clock_error_ms / 1000  # between the writer and us
+        clock_error_s = 2 * self.settings.params.max_clock_error_ms / 1000  # between the record's writer and this node
         ago_s = self.wall() - self.replica.jobs[cancelled].record.ended + clock_error_s
         assumed_age_s = return_after_s(self.settings.params.workers)
         return self.clock() - (ago_s if self._has_end_time(cancelled) and ago_s >= 0 else assumed_age_s)
@@ -234,7 +234,7 @@
         )
         job = self.cluster.add_job(spec, entry.version, since, self.replica.done_tasks(job_id))
         job.from_earlier_term = newest <= self.term.token
-        self._apply_standing(job_id)
+        self._apply_urgency(job_id)
         self.cluster.listener.job(job_id, "ready", self.clock())
         log.info(
             "job %s: %s %s of %d x %g cpus, %s for %s",
@@ -242,15 +242,15 @@
             spec.job_class, spec.team,
         )  # fmt: skip
 
-    def _apply_standing(self, job_id: str) -> None:
+    def _apply_urgency(self, job_id: str) -> None:
         """Give a job the priority rank and due time of the jobs that need it, where those are stronger."""
-        job, standing = self.cluster.jobs.get(job_id), self.replica.prerequisites.urgency(job_id)
-        if job is None or standing is None:
+        job, urgency = self.cluster.jobs.get(job_id), self.replica.prerequisites.urgency(job_id)
+        if job is None or urgency is None:
             return
-        due_at = self.clock() + standing.due - self.wall() if standing.due < math.inf else None
-        if (job.rank, job.due_at is None) != (standing.rank, due_at is None):
+        due_at = self.clock() + urgency.due - self.wall() if urgency.due < math.inf else None
+        if (job.rank, job.due_at is None) != (urgency.rank, due_at is None):
             self.cluster.dirty = True
-        job.rank, job.due_at, job.after = standing.rank, due_at, standing.jobs_after
+        job.rank, job.due_at, job.after = urgency.rank, due_at, urgency.jobs_after
 
     def on_jobs(self, touched: set[str]) -> None:
         """Take in changes of these jobs, and of the operators' settings, in this node's copy of the state service."""
@@ -269,7 +269,7 @@
             else:
                 known.version = entry.version
         for job_id in self.replica.prerequisites.with_needed(touched):
-            self._apply_standing(job_id)
+            self._apply_urgency(job_id)
         if self.replica.tuning[1] != self._tuning_version:
             self._tuning_version = self.replica.tuning[1]
             self.planner.settings = OperatorSettings(self.replica.tuning[0])
@@ -413,9 +413,8 @@
                 self.cluster.machines_to_command.add(machine)
                 continue
             orders, launched = self.cluster.orders_direct(machine, now)
-            if (
-                orders or machine.lost_answers >= c.MAX_LOST_LAUNCH_ANSWERS
-            ):  # an empty command shows whether it receives from us again
+            # After lost answers even an empty command is sent: it shows whether the machine can be commanded again.
+            if orders or machine.lost_answers >= c.MAX_LOST_LAUNCH_ANSWERS:
                 machine.sending = True
                 self._context.spawn(self._command, machine, machine.session, orders, launched)
 
--- a/pepperlatch/controller/leaderless.py
+++ b/pepperlatch/controller/leaderless.py
@@ -86,7 +86,8 @@
     async def _return_unanswered(self) -> None:
         """Probe the machines whose return is due, and return those that no controller reaches.
 
-        A probe without an answer counts only if this node reaches a witness or another controller can tell.
+        A probe without an answer counts only if this node reaches a witness, or if another controller's failure to
+        reach the machine is conclusive (see `PeerProxy.inspect`).
         """
         now = self._clock()
         due_s, most_s = return_after_s(self._times), self._times.cancel_s
@@ -112,15 +113,17 @@
             await self._workers.inspect(machine.addr)
             machine.unanswered = 0
             return
-        report, heard = await self._peers.inspect(machine.addr, self._witnesses)
+        report, conclusive = await self._peers.inspect(machine.addr, self._witnesses)
         if report is not None:
             machine.unanswered = 0
-        elif witness_reached or heard:
+        elif witness_reached or conclusive:
             machine.unanswered += 1
 
     async def _release(self, names: list[str]) -> None:
         """Ask the cloud to take machines back; they stay candidates if it does not confirm that."""
-        log.info("nobody leads: returning %s to the cloud, silent and perhaps with a cancelled task", ", ".join(names))
+        log.info(
+            "nobody leads: returning machines %s to the cloud; silent, and may hold a cancelled task", ", ".join(names)
+        )
         try:
             await self._cloud.release(names)
         except CloudError as error:
--- a/pepperlatch/controller/leadership.py
+++ b/pepperlatch/controller/leadership.py
@@ -123,7 +123,8 @@
     async def _try_to_win(self) -> Term | None:
         """Enter one election; None if another controller leads, or won, or this node may not lead now.
 
-        Raises Away, Unsure or LeaseGone if the state service does not answer as needed; the caller tries again.
+        Raises NotExecuted, OutcomeUnknown or LeaseGone if the state service does not answer as needed; the caller
+        tries again.
         """
         replica = self._replica
         if replica.loaded and replica.leader is not None and replica.leader[0] == self._node:
@@ -172,11 +173,11 @@
         """
         async with trio.open_nursery() as nursery:
             while not term.over:
-                nursery.start_soon(self._touch, term)
+                nursery.start_soon(self._renew_lease, term)
                 await trio.sleep(c.LEADER_LEASE_RENEW_S if self._state.reachable() else c.STATE_RETRY_S)
             nursery.cancel_scope.cancel()
 
-    async def _touch(self, term: Term) -> None:
+    async def _renew_lease(self, term: Term) -> None:
         """Renew the lease once; end the term if the state service says that the lease has ended."""
         sent = self._clock()
         try:
@@ -190,7 +191,7 @@
             return
 
     def check_leader_key(self) -> None:
-        """End the term if the leader key is no longer ours; called after every change of the replica."""
+        """End the term if the leader key is no longer this node's; called after every change of the replica."""
         term, leader = self.term, self._replica.leader
         if term is None or self._replica.revision < term.token:
             return
--- a/pepperlatch/controller/peers.py
+++ b/pepperlatch/controller/peers.py
@@ -56,9 +56,10 @@
     async def inspect(self, addr: str, others: list[str]) -> tuple[Report | None, bool]:
         """Ask all other controllers at once for a report of a machine that this one cannot reach.
 
-        Returns the first report (None if nobody got one), and whether any controller can tell that the machine is
-        silent. One that does not answer, or that reaches none of the `others` either, cannot; one of an earlier version
-        does not say what it reaches and counts as able to tell. Without other controllers the second value is True.
+        Returns the first report (None if no controller got one), and whether the result is conclusive: whether any
+        controller can tell that the machine is silent. One that does not answer, or that reaches none of the `others`
+        either, cannot; one of an earlier version does not say what it reaches and counts as able to tell. Without other
+        controllers the second value is True.
         """
         found: list[Report] = []
         conclusive = 0
@@ -82,10 +83,11 @@
         return (found[0] if found else None), conclusive > 0 or not self._settings.peers
 
     async def fence(self, addr: str, zone: str, token: int, session: int) -> FenceResult:
-        """Have another controller show the leader's token to a worker. Raises Lost if none of MAX_FENCE_PEERS succeeds.
+        """Have another controller show the leader's token to a worker.
 
-        Controllers in the worker's zone are asked first. The command carries no orders, so a copy that arrives late has
-        no effect beyond that of the token itself.
+        Up to MAX_FENCE_PEERS are asked one after the other, those in the worker's zone first; raises NoUsableResponse
+        if none succeeds. The command carries no orders, so a copy that arrives late has no effect beyond that of the
+        token itself.
         """
         peers = sorted(self._settings.peers, key=lambda p: p.zone != zone)
         for peer in peers[: c.MAX_FENCE_PEERS]:
--- a/pepperlatch/controller/records.py
+++ b/pepperlatch/controller/records.py
@@ -43,9 +43,7 @@
         self._on_recorded(name)
 
     def record_tasks(self, now: float) -> None:
-        """Record jobs whose tasks are all finished, and every `MIN_PERSIST_INTERVAL_S` the finished tasks of the
-        others.
-        """
+        """Record jobs whose tasks are all finished, and the finished tasks of others every `MIN_PERSIST_INTERVAL_S`."""
         if not self._context.cluster.unsaved_jobs:
             return
         save_partial = now - self._tasks_saved_at >= c.MIN_PERSIST_INTERVAL_S
@@ -86,7 +84,7 @@
                 self._context.writer.add(Write([wire.delete(key)], lambda applied: None), deferred=True)
 
     def _save_tasks(self, job: Job) -> None:
-        """Record finished tasks of an unfinished job, as many values as one transaction takes; the rest follows.
+        """Record finished tasks of an unfinished job in as many values as fit into one transaction; the rest follows.
 
         Each value is conditional on the version it replaces, so that a delayed older write cannot undo a newer one.
         """
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -34,10 +34,10 @@
         self._open_hires: dict[str, set[str]] = {}
 
     def rent(self, now: float) -> None:
-        """Request the machines that the planner wants, the largest requests first, at most `MAX_CONCURRENT_HIRES` at
-        once.
+        """Request the machines that the planner wants, the largest requests first.
 
-        The rest is requested in later calls, together with what is wanted by then.
+        At most `MAX_CONCURRENT_HIRES` requests are open at once. The rest is requested in later calls, together with
+        what is wanted by then.
         """
         free = c.MAX_CONCURRENT_HIRES - len(self._context.planner.requested)
         if free <= 0:
@@ -102,7 +102,7 @@
             self._context.planner.offer_granted(offer)
         kind = self._context.cluster.types.get(offer.type)
         log.info(
-            "hired machines %s of %d requested: type %s, zone %s%s",
+            "the cloud answered a hire with machines %s (None: no capacity) of %d requested: type %s, zone %s%s",
             names,
             count,
             offer.type,
--- a/pepperlatch/controller/store.py
+++ b/pepperlatch/controller/store.py
@@ -233,16 +233,16 @@
         if entry.state is wire.JobState.DONE:
             return {job_id} | self.prerequisites.finish(job_id, record.ended)
         if record.state == wire.JobState.CANCELLED.value:
-            over = self.prerequisites.cancel(job_id, job_id)
+            cancelled = self.prerequisites.cancel(job_id, job_id)
         elif record.spec is not None:
-            over = self.prerequisites.add(
-                job_id, record.spec.needs or (), _own_standing(record.spec, record.at), record.spec.estimate_s
+            cancelled = self.prerequisites.add(
+                job_id, record.spec.needs or (), _own_urgency(record.spec, record.at), record.spec.estimate_s
             )
         else:
             return {job_id}
-        for name in over:
+        for name in cancelled:
             self.jobs[name].through = self.prerequisites.cancelled_through[name]
-        return {job_id} | over
+        return {job_id} | cancelled
 
     def _delete(self, key: str, version: int) -> None:
         if self._versions.get(key, 0) >= version:
@@ -258,10 +258,9 @@
                 self._versions.pop(key, None)
 
     def learn(self, rows: list[tuple[str, Any, int]], at: float = math.inf) -> set[str]:
-        """Apply job records that the state service has confirmed before a read shows them; return the jobs that
-        changed.
+        """Apply job records that the state service has confirmed, before a read shows them.
 
-        `rows` holds job id, record and version; a later read shows them again.
+        `rows` holds job id, record and version; a later read shows them again. Returns the ids of the changed jobs.
         """
         touched: set[str] = set()
         for job_id, value, version in rows:
@@ -275,13 +274,13 @@
         return sorted((known.version, known.job_id) for known in self._cancelled if known.version > revision)
 
     def cancelled_recently(self, since: float) -> list[str]:
-        """Return all jobs whose cancellation this node learned of since then, so those that may have happened since.
+        """Return the jobs whose cancellation this node learned of at `since` or later; no other can be so recent.
 
-        All that were ever cancelled, if cancellations aren't remembered so far back.
+        Returns all that were ever cancelled if cancellations aren't remembered so far back.
         """
         if since <= self._cancelled_complete_after:
-            over = wire.JobState.CANCELLED.value
-            return [job_id for job_id, entry in self.jobs.items() if entry.record.state == over]
+            cancelled = wire.JobState.CANCELLED.value
+            return [job_id for job_id, entry in self.jobs.items() if entry.record.state == cancelled]
         return list(dict.fromkeys(known.job_id for known in self._cancelled if known.learned_at >= since))
 
     def cancelling_job(self, job_id: str) -> str | None:
@@ -340,7 +339,7 @@
     return job_id, int(number)
 
 
-def _own_standing(spec: wire.JobSpec, at: float) -> Urgency:
+def _own_urgency(spec: wire.JobSpec, at: float) -> Urgency:
     """Return how urgent the job is by itself, if it was submitted at `at` (time of day)."""
     return Urgency(wire.PRIORITY_RANK[spec.priority], at + spec.deadline_s if spec.deadline_s else math.inf)
 
@@ -397,7 +396,8 @@
 def cancelled_record(record: JobRecord, value_kb: float, ended: float) -> JobRecord:
     """Return the record of a job cancelled at `ended` (time of day).
 
-    A description too long for one value keeps only what the usage of the job's last tasks is counted by.
+    If the description is too long for one value, only the fields that the usage of the job's last tasks is counted by
+    are kept.
     """
     held = JobRecord(wire.JobState.CANCELLED.value, record.spec, record.tasks, record.at, ended=ended)
     if record.spec is not None and not fits_value(wire.to_plain(held), value_kb):
@@ -427,10 +427,10 @@
 
 def bitmap(tasks: set[int], first: int, count: int) -> dict[str, str]:
     """Return the stored bitmap of those given tasks that are from `first` to `first + count - 1`."""
-    mine = [task - first for task in tasks if first <= task < first + count]
-    bits = bytearray(max(mine, default=-1) // 8 + 1)
-    for task in mine:
-        bits[task // 8] |= 1 << task % 8
+    offsets = [task - first for task in tasks if first <= task < first + count]
+    bits = bytearray(max(offsets, default=-1) // 8 + 1)
+    for offset in offsets:
+        bits[offset // 8] |= 1 << offset % 8
     return {"bits": base64.b64encode(bits).decode("ascii")}
 
 
@@ -510,7 +510,7 @@
     async def _read(self, wait_ms: int) -> bool:
         """Read and apply changes, waiting for one up to `wait_ms`; False if the service no longer keeps changes so old.
 
-        Raises Away or Unsure if the state service does not answer.
+        Raises NotExecuted or OutcomeUnknown if the state service does not answer.
         """
         sent = trio.current_time()
         changes = await self._state.changes(WATCHED, self.replica.revision, wait_ms)
@@ -538,12 +538,12 @@
         """
         if not self.replica.loaded or not self._state.reachable():
             raise NotExecuted("no current reading of the state service")
-        reading = _PendingSync()
-        self._pending_syncs.append(reading)
+        pending = _PendingSync()
+        self._pending_syncs.append(pending)
         self._sync_requested.set()
         with trio.move_on_after(c.SYNC_TIMEOUT_S):
-            await reading.finished.wait()
-        if not reading.succeeded:
+            await pending.finished.wait()
+        if not pending.succeeded:
             raise NotExecuted("no current reading of the state service")
 
     async def serve_syncs(self) -> None:
@@ -555,29 +555,29 @@
             in_flight = trio.CapacityLimiter(c.MAX_CONCURRENT_SYNCS)
             while True:
                 await self._sync_requested.wait()
-                token = object()
-                await in_flight.acquire_on_behalf_of(token)
+                slot = object()
+                await in_flight.acquire_on_behalf_of(slot)
                 self._sync_requested = trio.Event()
                 batch, self._pending_syncs = self._pending_syncs, []
-                nursery.start_soon(self._serve_batch, batch, in_flight, token)
-                with trio.move_on_after(c.SLOW_SYNC_S):  # fast reads follow one another
+                nursery.start_soon(self._serve_batch, batch, in_flight, slot)
+                with trio.move_on_after(c.SLOW_SYNC_S):  # reads overlap only while one is slow
                     await batch[0].finished.wait()
                 await trio.sleep(c.MIN_SYNC_INTERVAL_S)
 
-    async def _serve_batch(self, batch: list[_PendingSync], in_flight: trio.CapacityLimiter, token: object) -> None:
+    async def _serve_batch(self, batch: list[_PendingSync], in_flight: trio.CapacityLimiter, slot: object) -> None:
         succeeded = False
         try:
             succeeded = await self._read(0)
         except (NotExecuted, OutcomeUnknown):
             pass
         finally:
-            in_flight.release_on_behalf_of(token)
-            for reading in batch:
-                reading.succeeded = succeeded
-                reading.finished.set()
+            in_flight.release_on_behalf_of(slot)
+            for pending in batch:
+                pending.succeeded = succeeded
+                pending.finished.set()
 
     async def keep_current(self, needed: Callable[[], bool]) -> None:
-        """Keep the proof that the copy is current at most about as old as the leader lease's, while `needed()` is true.
+        """While `needed()` is true, prove that the copy is current about as often as the leader renews its lease.
 
         A watch without changes proves nothing until its long poll returns, so this reads when the last proof is older
         than `FRESHNESS_CHECK_INTERVAL_S`. While users' polls cause reads all the time, it reads nothing.
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -214,7 +214,7 @@
     async def find_invalid_dependency(self, spec: JobSpec) -> str | None:
         """What is wrong with the jobs in `needs`, as text for the user; None if nothing is.
 
-        Only a current reading may tell that a job was never accepted. Raises Away if there is none.
+        Only a current reading may tell that a job was never accepted. Raises NotExecuted if there is none.
         """
         needs = spec.needs or []
         if any(name not in self._replica.jobs for name in needs):
@@ -250,7 +250,7 @@
     async def _known_job(self, job_id: object) -> Response | None:
         """A known job's present state; None if the job is unknown.
 
-        Unless the job is over, reads the state service first. Raises Away if there is no current reading.
+        Unless the job is over, reads the state service first. Raises NotExecuted if there is no current reading.
         """
         if not store.is_job_id(job_id):
             return None
@@ -266,9 +266,8 @@
         if len(self._queue) >= self._state.writes_within(c.SUBMIT_TIMEOUT_S):  # it would not be written in time
             return retry_later()
         parts = store.description_parts(spec, self._settings.params.state.value_kb)
-        submission = self._queue.setdefault(
-            spec.id, _Submission(spec, parts=parts)
-        )  # if two are in flight, one conflicts
+        # If two transactions in flight create the same job, one of them conflicts.
+        submission = self._queue.setdefault(spec.id, _Submission(spec, parts=parts))
         self._wake.set()
         with trio.move_on_after(c.SUBMIT_TIMEOUT_S):
             await submission.settled.wait()
@@ -379,7 +378,7 @@
         return answer
 
     async def poll(self, job_id: str) -> Response:
-        """The job's state, or 404. Raises Away if there is no current reading."""
+        """The job's state, or 404. Raises NotExecuted if there is no current reading."""
         if not store.is_job_id(job_id):
             return Response(404, {"error": "no such job"})
         return await self._known_job(job_id) or Response(404, {"error": "no such job"})
@@ -404,7 +403,7 @@
                 outcome = await self._state.txn(
                     [wire.version_condition(key, entry.version)], [wire.put(key, wire.to_plain(record))]
                 )
-                if outcome.applied:  # learn it before the user is told: peers rely on what this node knows
+                if outcome.applied:  # known here before the user is answered, since attestations rely on that
                     self._watcher.learn([(job_id, record, outcome.revision)])
                     await self._notify_cancelled(job_id, record, outcome.revision)
                     return Response(200, wire.job_answer(job_id, JobState.CANCELLED))
--- a/pepperlatch/controller/writer.py
+++ b/pepperlatch/controller/writer.py
@@ -57,7 +57,7 @@
         return min(self._max_changes, self._state.max_background_changes())
 
     def add(self, write: Write, deferred: bool = False) -> None:
-        """Queue a write. A `deferred` one, for which nobody waits, is left until the budget exceeds others' needs."""
+        """Queue a write. A `deferred` one, for which nobody waits, is left until other writes leave room for it."""
         (self._deferred if deferred else self._queue).append(write)
         self._wake.set()
 
@@ -84,15 +84,13 @@
                 await trio.sleep(c.STATE_RETRY_S)
 
     async def _wait_for_work(self) -> None:
-        """Wait for a new write, or until a deferred or refused one may have to be looked at again."""
+        """Wait for a new write, or until a deferred or refused one may have to be tried again."""
         self._wake = trio.Event()
         with trio.move_on_after(c.BACKGROUND_WRITE_RETRY_S if self._deferred else c.REFUSED_WRITE_RETRY_S):
             await self._wake.wait()
 
     def _on_refused(self, batch: list[Write], error: Rejected) -> None:
-        """Retry the writes of a refused batch one by one; set a single refused write aside for
-        `REFUSED_WRITE_RETRY_S`.
-        """
+        """Retry the writes of a refused batch one by one; a single one is retried after `REFUSED_WRITE_RETRY_S`."""
         if len(batch) > 1:
             self._queue.extendleft(reversed([_as_single(write) for write in batch]))
             return
@@ -166,7 +164,7 @@
                 write.on_outcome(True)
         elif store.LEADER in outcome.failed:
             self._term.over = True
-        elif store.WRITE_FENCE in outcome.failed:  # advanced by a try without an answer, or by a writer unknown to us
+        elif store.WRITE_FENCE in outcome.failed:  # advanced by a try without an answer, or by another writer
             self._outcome_unknown = True
             self._queue.extendleft(reversed(batch))
         else:
