--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -342,7 +342,7 @@
     network = HttpNetwork(limit - accepted - 20)
     node = Node(settings, network, extensions=extensions)
     on_created(node)
-    log.info("version %s", __version__)
+    log.info("controller starts, version %s", __version__)
     async with trio.open_nursery() as nursery:
         for handler, address, max_connections in (
             (node.handle, settings.listen, accepted - by_peers),
