--- a/pepperlatch/command/cli.py
+++ b/pepperlatch/command/cli.py
@@ -260,7 +260,7 @@
     """Check a file; no node is asked. Every mistake is listed with its line."""
     from pepperlatch.command import pipelines
 
-    plan = pipelines.compile_file(file, key).plan
+    plan = pipelines.read_pipeline_file(file, key).plan
     click.echo(f"{file}: {plan.run_name}, {len(plan.steps)} jobs, nothing wrong")
     return 0
 
@@ -273,7 +273,7 @@
     """What would be sent, in order, with the time to spare of each step; no node is asked."""
     from pepperlatch.command import pipelines
 
-    return pipelines.show_plan(pipelines.compile_file(file, key).plan, output_format)
+    return pipelines.show_plan(pipelines.read_pipeline_file(file, key).plan, output_format)
 
 
 @pipeline.command()
@@ -289,7 +289,7 @@
     """
     from pepperlatch.command import pipelines
 
-    return pipelines.run(client, pipelines.compile_file(file, key, client.preferences.team).plan, wait)
+    return pipelines.run(client, pipelines.read_pipeline_file(file, key, client.preferences.team).plan, wait)
 
 
 @pipeline.command(name="status")
@@ -345,7 +345,7 @@
     """
     from pepperlatch.command import pipelines
 
-    return pipelines.add_schedule(client, pipelines.compile_file(file, None, client.preferences.team))
+    return pipelines.add_schedule(client, pipelines.read_pipeline_file(file, None, client.preferences.team))
 
 
 @schedule.command(name="list")
--- a/pepperlatch/command/pipelines.py
+++ b/pepperlatch/command/pipelines.py
@@ -27,7 +27,7 @@
 FINAL_STATUSES = {DONE, wire.JobState.CANCELLED.value, "refused", "cancelled"}  # of a run
 
 
-def compile_file(file: str, key: str | None, team: str | None = None) -> "CompiledFile":
+def read_pipeline_file(file: str, key: str | None, team: str | None = None) -> "CompiledFile":
     """The plan and schedule of a pipeline file, `-` for standard input.
 
     `key` overrides the key in the file; `team` is for jobs whose team the file does not name, None for the team of the
