--- a/pepperlatch/constants/scale.py
+++ b/pepperlatch/constants/scale.py
@@ -1,6 +1,7 @@
 """Constants of the scale runs; "PROTOCOL" marks numbers of the protocol. A run's own size is in its scenario.
 
-Hollow workers are simulated workers that speak the protocol and run nothing.
+Simulated workers speak the protocol but run no tasks. A simulated process (`scale/process_entry.py`) hosts many of
+them, or the simulated users, or the simulated services.
 """
 
 from typing import Final
@@ -8,8 +9,8 @@
 MAX_MEMORY_MB: Final = 12_000  # MB; half of the memory of the machines that run scenarios
 MAX_PROCESSES: Final = 300  # processes; what an ordinary machine runs besides its own work
 CONTROLLER_MEMORY_MB: Final = 120  # MB expected for a controller before a run; above the largest seen (81 MB)
-WORKER_MEMORY_MB: Final = 0.4  # MB expected for a hollow worker with its connection and its listener
-HOST_PROCESS_MEMORY_MB: Final = 60  # MB expected for a process of hollow workers before the first of them
+WORKER_MEMORY_MB: Final = 0.4  # MB expected for a simulated worker with its connection and its listener
+HOST_PROCESS_MEMORY_MB: Final = 60  # MB expected for a process of simulated workers before the first of them
 FILES_PER_WORKER: Final = 5  # file handles: a listener, the worker's own connection, and concurrent commands
 FILES_PER_PROCESS: Final = 300  # file handles of a process besides those of its workers
 
@@ -19,9 +20,9 @@
 
 START_TIMEOUT_S: Final = 60.0  # s; until all controllers are healthy, in which time hundreds of machines report
 STOP_TIMEOUT_S: Final = 3.0  # s; a process that was asked to end is killed after this
-CONTROL_TIMEOUT_S: Final = 10.0  # s; for the answer of a hollow process, which may be busy
+CONTROL_TIMEOUT_S: Final = 10.0  # s; for the answer of a simulated process, which may be busy
 SAMPLE_INTERVAL_S: Final = 1.0  # s; how often processes are measured
-TOOL_BUSY_SHARE: Final = 0.85  # share of a core; a hollow process above it may itself be the limit of a run
+TOOL_BUSY_SHARE: Final = 0.85  # share of a core; a simulated process above it may itself be the limit of a run
 MACHINE_BUSY_SHARE: Final = 0.9  # share of all cores; above it the machine may be the limit of a run
 
 # Share by which the tasks of a job differ in length; equal tasks would all end together.
