--- a/pepperlatch/features.py
+++ b/pepperlatch/features.py
@@ -15,15 +15,16 @@
 
 
 class Pipelines(msgspec.Struct, forbid_unknown_fields=True):
-    """`repeats`: classes of jobs that may be run again under the same key."""
+    """The switch of the pipelines. `repeats`: classes of jobs that may be run again under the same key."""
 
     on: bool = False
     repeats: list[str] = []
 
 
 class Public(msgspec.Struct, forbid_unknown_fields=True):
-    """The members' view. `listen`: address of its own listener, none if empty. `teams`: those shown, all if empty.
+    """The members' view.
 
+    `listen`: address of its own listener, none if empty. `teams`: teams whose jobs are shown, all if empty.
     `names`: whether ids of jobs are shown; if not, each job has a pseudonym that stays the same.
     """
 
@@ -33,8 +34,9 @@
 
 
 class Console(msgspec.Struct, forbid_unknown_fields=True):
-    """`metrics`: serve /metrics on the operators' listener; needs the group `metrics` of the optional libraries.
+    """The switch of the console, the metrics and the traces.
 
+    `metrics`: serve /metrics on the operators' listener; needs the group `metrics` of the optional libraries.
     `trace_share`: share of the jobs whose spans go into the log; needs the group `tracing` unless it is 0.
     """
 
@@ -52,7 +54,7 @@
 
 
 def parse(text: str) -> Features:
-    """Raises FeaturesError."""
+    """Features from the file's text. Raises FeaturesError."""
     try:
         return msgspec.convert(tomllib.loads(text), Features)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
--- a/pepperlatch/logs.py
+++ b/pepperlatch/logs.py
@@ -24,14 +24,17 @@
 
 @dataclass(slots=True)
 class LogContext:
-    """What every line of a process contains: its node, and the fencing token of its term while it leads."""
+    """What every log line of a process contains: the node's name, and its term's fencing token while it leads."""
 
     node: str
     token: Callable[[], int | None] = lambda: None
 
 
 class JsonFormatter(logging.Formatter):
-    """`{"at": ..., "level": ..., "node": ..., "token": ..., "logger": ..., "event": ..., "job": ...}`"""
+    """Formats `{"at": ..., "level": ..., "node": ..., "token": ..., "logger": ..., "event": ..., "job": ...}`.
+
+    The token is there only while the node leads, and the fields of `extra` only if the caller passed them.
+    """
 
     def __init__(self, context: LogContext) -> None:
         super().__init__()
--- a/pepperlatch/protocol/cloud.py
+++ b/pepperlatch/protocol/cloud.py
@@ -31,10 +31,10 @@
         self._network = network
         self._addr = addr
         self._clock = clock
-        self._budget = TokenBucket(limits.rps * c.CLOUD_RATE_SHARE, c.CLOUD_BURST_S)
+        self._call_rate = TokenBucket(limits.rps * c.CLOUD_RATE_SHARE, c.CLOUD_BURST_S)
 
     async def _call(self, method: str, path: str, body: Any = None) -> Any:
-        wait = self._budget.take(self._clock())
+        wait = self._call_rate.take(self._clock())
         if wait > 0:
             await trio.sleep(wait)
         try:
--- a/pepperlatch/protocol/http/client.py
+++ b/pepperlatch/protocol/http/client.py
@@ -31,7 +31,7 @@
 
 
 def _gunzip(data: bytes) -> bytes:
-    """Raises h11.RemoteProtocolError if the data is not whole gzip, or longer than MAX_UNPACKED_BYTES."""
+    """Unpack the data. Raises h11.RemoteProtocolError if it is not whole gzip, or longer than MAX_UNPACKED_BYTES."""
     import zlib
 
     decompressor = zlib.decompressobj(16 + zlib.MAX_WBITS)
--- a/pepperlatch/protocol/http/server.py
+++ b/pepperlatch/protocol/http/server.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """`path`: the request's target, with its query."""
+    """A request as read from the connection. `path`: its target, with the query."""
 
     method: str
     path: str
@@ -27,6 +27,8 @@
 
 @dataclass(slots=True)
 class Response:
+    """The answer to a request."""
+
     status: int
     body: Any = None  # written as JSON; bytes as they are, with a Content-Type among the headers
     headers: dict[str, str] = field(default_factory=dict)
@@ -46,8 +48,8 @@
 class Server:
     """Serves one listener; holds at most `max_connections` connections and closes further ones at once.
 
-    Above HIGH_CONNECTION_SHARE of that limit, a connection is closed with its next answer unless `keeps_open` is true
-    of the request: so workers keep theirs while users reconnect.
+    Above HIGH_CONNECTION_SHARE of that limit, a connection is closed with its next answer unless `keeps_open` returns
+    true for the request, so workers keep their connections while users reconnect.
     """
 
     def __init__(
@@ -105,7 +107,7 @@
     async def _event(self, conn: h11.Connection, stream: trio.abc.Stream, seconds: float) -> Any:
         """The next event of the connection; ConnectionClosed if none comes within `seconds`.
 
-        What has arrived already needs no deadline: mostly one read takes a whole request.
+        Data that has arrived already needs no deadline: usually one read takes a whole request.
         """
         event = conn.next_event()
         if event is not h11.NEED_DATA:
--- a/pepperlatch/protocol/state.py
+++ b/pepperlatch/protocol/state.py
@@ -64,7 +64,7 @@
         self._limits = limits
         self._nodes = nodes
         self._clock = clock
-        self._requests = TokenBucket(limits.rps)
+        self._requests = TokenBucket(limits.rps)  # all requests, writes included
         self._writes = SharedTokenBucket(limits.write_rps, recovery_s=c.WRITE_RATE_RECOVERY_S)
         self.set_role(False)
         self.last_success_at = clock()
@@ -86,11 +86,14 @@
             self._writes.set_limits(rate * c.WRITE_SHARE_OTHERS / max(1, self._nodes - 1), rate * c.WRITE_SHARE_OTHERS)
 
     def writes_within(self, seconds: float) -> int:
-        """How many writes this node's share of the rate allows within so many seconds."""
+        """How many writes this node's share of the write rate allows within `seconds`."""
         return max(1, int(self._writes.rate * (seconds + self._writes.burst_s)))
 
     def spare_writes(self) -> int:
-        """How many background writes may be made now; the rest of the saved-up rate is kept for writes waited for."""
+        """How many background writes may be made now.
+
+        The rest of the saved-up write rate is kept for writes that a user or the leader waits for.
+        """
         writes = self._writes
         saved = writes.available(self._clock())
         full = saved >= writes.rate * writes.burst_s
@@ -101,7 +104,7 @@
         return max(1, int((1 - c.BACKGROUND_WRITE_RESERVE_SHARE) * self._writes.min_rate * self._writes.burst_s))
 
     def reachable(self) -> bool:
-        """Whether the latest request was answered; one refused for the rate (429) counts neither way."""
+        """Whether the latest request was answered; one refused by the rate limit (429) is not counted."""
         return self.last_success_at >= self.last_failure_at
 
     def _on_failure(self) -> None:
@@ -137,7 +140,7 @@
         return status, answer
 
     async def responds(self) -> bool:
-        """Whether the service answers this node now, within STATE_FRESH_S. Another controller asks for it."""
+        """Whether the service answers this node now, within STATE_FRESH_S. Called when another controller asks."""
         try:
             await self._call("GET", f"{wire.KEYS_PATH}/ping", None, c.STATE_FRESH_S, urgent=True)
             return True
@@ -182,9 +185,10 @@
     ) -> Outcome:  # fmt: skip
         """Apply all writes if all conditions hold, else none.
 
-        Somebody waits for most transactions, so they do not queue behind reads; reads wait the longer for it. An urgent
-        one does not wait for the write rate either. Raises LeaseGone, Rejected, NotExecuted, or OutcomeUnknown after
-        `seconds` without an answer. If the caller is cancelled, the transaction may be carried out all the same.
+        A user or the leader waits for most transactions, so they do not queue behind reads; reads wait longer instead.
+        An urgent transaction does not wait for the write rate either. Raises LeaseGone, Rejected, NotExecuted, or
+        OutcomeUnknown after `seconds` without an answer. If the caller is cancelled, the transaction may still be
+        carried out.
         """
         status, answer = await self._write(wire.txn_body(conditions, writes), len(writes), urgent, seconds)
         if status == 200:
@@ -198,9 +202,9 @@
         raise NotExecuted(f"transaction: {status} {answer}")
 
     async def _write(self, body: dict[str, Any], count: int, urgent: bool, seconds: float) -> tuple[int, Any]:
-        """Send a transaction; retry it while the rate is exceeded, for as long as an answer may take.
+        """Send a transaction of `count` writes; retry it while the rate limit refuses it, for STATE_REQUEST_TIMEOUT_S.
 
-        If the caller is cancelled, the transaction may be carried out all the same.
+        If the caller is cancelled, the transaction may still be carried out.
         """
         until = self._clock() + c.STATE_REQUEST_TIMEOUT_S
         while True:
@@ -215,12 +219,15 @@
                     raise
 
     async def grant_lease(self, ttl_ms: int) -> int:
-        """Ask for a lease of so many milliseconds; returns its number."""
+        """Ask for a lease of `ttl_ms` milliseconds; returns its number."""
         _, answer = await self._call("POST", wire.LEASES_PATH, wire.lease_body(ttl_ms), urgent=True)
         return wire.lease_of(answer)
 
     async def renew_lease(self, lease: int, seconds: float) -> None:
-        """Let the lease run for its whole time again. Raises LeaseGone if it has ended."""
+        """Let the lease run for its whole duration again. Raises LeaseGone if it has ended.
+
+        `seconds`: deadline for the answer.
+        """
         status, _ = await self._call(
             "POST", f"{wire.LEASES_PATH}/{lease}/{wire.TOUCH_SUBPATH}", {}, seconds, urgent=True
         )
@@ -233,6 +240,7 @@
 
 
 def _checked(answer: Any, kind: Any) -> Any:
+    """The answer as a `kind`. Raises NotExecuted if it has another form."""
     try:
         return wire.convert(answer, kind)
     except msgspec.ValidationError as error:
--- a/pepperlatch/protocol/token_bucket.py
+++ b/pepperlatch/protocol/token_bucket.py
@@ -5,7 +5,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Gains `rate` tokens a second and holds at most `burst_s` seconds' worth; takers may bring it into debt."""
+    """Gains `rate` tokens a second and holds at most `burst_s` seconds' worth; callers may take more than it holds."""
 
     rate: float
     burst_s: float = 1.0
@@ -27,9 +27,9 @@
 class SharedTokenBucket(TokenBucket):
     """A client's part of a rate limit that several clients share without asking each other.
 
-    Each client may use the whole of it (`max_rate`) while the others are quiet. A client that is refused falls to half
-    of its rate, but not below what is surely its own (`min_rate`), and recovers from there to the whole within
-    `recovery_s`.
+    Each client may use the whole of it (`max_rate`) while the others send little. A client that is refused falls to
+    half of its rate, but not below its guaranteed part (`min_rate`), and recovers from that part to the whole within
+    `recovery_s` seconds.
     """
 
     min_rate: float = 0.0
--- a/pepperlatch/protocol/wire.py
+++ b/pepperlatch/protocol/wire.py
@@ -82,7 +82,8 @@
 
     `types`: names of the machine types that are allowed, None for all. `zone`: the only allowed zone. `one_zone`: all
     tasks in the same zone. `spread`: at most half of the tasks in one zone. `spot`: spot machines are allowed.
-    `estimate_s`: expected run time of a task in seconds. `checkpoint_s`: seconds between two checkpoints, 0 for none.
+    `image_gb`: size of the image that a machine fetches before the task starts. `estimate_s`: expected run time of a
+    task in seconds. `checkpoint_s`: seconds between two checkpoints, 0 for none.
     `save_s`: seconds that a checkpoint takes. `deadline_s`: seconds from acceptance until the job is due.
     """
 
@@ -113,7 +114,10 @@
     msgspec.Struct,
     rename={"task": "piece", "attempt": "try", "state": "status", "end_cause": "cause", "saved": "stored"},
 ):
-    """One task in a worker's report. `end_cause`: set once the task has exited. `saved`: "stored" on the wire."""
+    """One task in a worker's report.
+
+    `end_cause`: set once the task has exited. `saved`: "stored" on the wire; controllers do not use it.
+    """
 
     task: str
     attempt: int
@@ -155,7 +159,11 @@
 
 
 class MachineType(msgspec.Struct, rename=_TYPE):
-    """A machine type of the cloud. `boot_s`: its usual boot time in seconds. `zones`: where it can be rented."""
+    """A machine type of the cloud.
+
+    `cache_gb`: space for images. `price` and `spot_price`: for an hour. `boot_s`: usual boot time in seconds. `zones`:
+    where it can be rented.
+    """
 
     name: str
     cpus: float
@@ -275,7 +283,7 @@
 
 
 def job_answer(job_id: str, state: JobState, done: int | None = None, running: int | None = None) -> dict[str, Any]:
-    """Answer to a user about a job. `done`, `running`: numbers of tasks, left out unless `done` is given."""
+    """Answer to a user about a job. `done` and `running` are numbers of tasks; both are left out if `done` is None."""
     answer: dict[str, Any] = {"name_id": job_id, "status": state.value}
     if done is not None:
         answer["done"] = done
--- a/pepperlatch/protocol/workers.py
+++ b/pepperlatch/protocol/workers.py
@@ -25,8 +25,8 @@
     ) -> tuple[bool, wire.Report]:
         """Send orders with the leader's fencing token; returns whether they were executed, and the report after them.
 
-        A worker refuses all of them if it has seen a higher token or is in another session. Without orders it takes
-        note of the token, which fences the machine against earlier leaders.
+        A worker refuses all of them if it has seen a higher token or is in another session. A command without orders
+        only makes the worker record the token, which fences the machine against earlier leaders.
         """
         body = wire.commands_body(token, session, orders)
         status, answer = await self._network.request(addr, "POST", wire.COMMANDS_PATH, body, seconds)
--- a/pepperlatch/settings.py
+++ b/pepperlatch/settings.py
@@ -53,7 +53,7 @@
 class WorkerTimings(msgspec.Struct):
     """The workers' timings in seconds.
 
-    `report_s`: between two reports. `lease_s`: a worker without an answer for so long ends its tasks.
+    `report_s`: between two reports. `lease_s`: a worker without an answer for this long ends its tasks.
     `gang_wait_s`: how long a gang's task waits for the others. `gang_peer_s`: how long one may be missing before the
     gang ends. `cancel_s`: bound within which a cancelled job's tasks have to be gone.
     """
@@ -88,7 +88,10 @@
     next: StateNext | None = None
 
     def lowest(self) -> "StateLimits":
-        """Limits that hold before and after the announced change; kept from the start, it need not be detected."""
+        """Limits that hold before and after the announced change.
+
+        They are kept from the start, so the moment of the change need not be detected.
+        """
         after = self.next or StateNext()
         return StateLimits(
             min(self.rps, after.rps or self.rps),
@@ -99,7 +102,7 @@
 
 
 class CloudLimits(msgspec.Struct):
-    """`rps`: calls a second. `list_lag_s`: seconds by which the list of machines may lag behind."""
+    """Limits of the cloud. `rps`: calls a second. `list_lag_s`: seconds by which the list of machines may lag."""
 
     rps: float
     list_lag_s: float
--- a/run.py
+++ b/run.py
@@ -7,9 +7,9 @@
 HERE = Path(__file__).resolve().parent
 sys.path[:0] = [str(HERE / "target" / "deps")]
 
-# The build leaves bytecode of this project's modules below target/; without it every start would compile them anew, a
-# quarter of its processor time. All other modules have their bytecode beside them, so those that are needed are
-# imported before the bytecode folder is switched.
+# The build leaves the bytecode of this project's modules below target/; without it every start would compile them
+# again, which takes a quarter of a start's processor time. All other modules have their bytecode beside them, so those
+# that are needed are imported before the bytecode folder is switched.
 import base64  # noqa: E402, F401
 import statistics  # noqa: E402, F401
 import tomllib  # noqa: E402, F401
