--- a/pepperlatch/command/client.py
+++ b/pepperlatch/command/client.py
@@ -62,6 +62,7 @@
     # --- operators --------------------------------------------------------------------------------
 
     def show_settings(self) -> int:
+        """Print all settings of the operators, as a table or as JSON."""
         status, answer = self.request("GET", "/admin/settings")
         if status != 200 or self.output_format == "json":
             output.print_json(answer)
@@ -72,6 +73,7 @@
         return OK
 
     def change_settings(self, values: Sequence[str]) -> int:
+        """Change settings and print the answer; `values` as in `parse_settings_change`, which raises ValueError."""
         return self.print_response("PUT", "/admin/settings", parse_settings_change(values))
 
     # --- jobs -------------------------------------------------------------------------------------
@@ -172,7 +174,7 @@
         return code
 
     def _print_jobs(self, answers: Sequence[dict[str, Any]]) -> None:
-        """Print a table; as JSON one job is an object and several are a list, as the user named one or several."""
+        """Print the answers as a table, or as JSON: an object for one job, a list for several."""
         if self.output_format == "json":
             output.print_json(answers[0] if len(answers) == 1 else answers)
             return
--- a/pepperlatch/command/console.py
+++ b/pepperlatch/command/console.py
@@ -33,9 +33,10 @@
 
 
 def _request_function(client: Any, timeout_s: float, report_retry: Any) -> AskFunction:
-    """The function through which a `Mirror` sends requests: tries the client's nodes in turn for `timeout_s` seconds.
+    """The function through which a `ViewCopy` sends requests: tries the client's nodes in turn for `timeout_s` seconds.
 
-    Answers may be compressed. It raises Silent if no node gives a final response in time.
+    Answers may be compressed. It raises NoNodeAnswered if no node gives a final response in time. `report_retry` is
+    called with a text before each pause.
     """
     network = HttpNetwork(core.MAX_CLIENT_CONNECTIONS, gzip=True)
     http = RetryingClient(client.http.nodes, timeout_s, report_retry, network)
@@ -52,7 +53,7 @@
 def run_console(client: Any, filter_text: str, zone_name: str, once: bool) -> int:
     """Show the jobs that match the filter until the viewer quits, or print them once; returns the exit code.
 
-    Raises ValueError for a wrong filter or time zone, and with `once` as `_print_once`.
+    Raises ValueError for a wrong filter or time zone, and with `once` also what `_print_once` raises.
     """
     try:
         from pepperlatch.console.terminal import parse_filter, run
@@ -74,13 +75,16 @@
 
 
 def _print_once(client: Any, view_copy: ViewCopy, zone: tzinfo | None) -> int:
-    """Print the jobs, as a table or as JSON. Raises Silent or Refused, or NoAnswer if nothing could be fetched."""
+    """Print the jobs, as a table or as JSON.
 
-    async def look() -> ViewState:
+    Raises NoNodeAnswered or ViewRefused, or NoAnswer if nothing could be fetched.
+    """
+
+    async def fetch() -> ViewState:
         await view_copy.load_complete()
         return await Poller(view_copy, Selection(view_copy.query), lambda view_state: None).poll_once()
 
-    view_state = trio.run(look)
+    view_state = trio.run(fetch)
     if not view_state.head:
         raise NoAnswer(view_state.stale)
     if client.output_format == "json":
@@ -100,8 +104,8 @@
 def report(client: Any, file: str, zone_name: str, members: bool, teams: tuple[str, ...], names: bool) -> int:
     """Write the page to a file, `-` for standard output; returns the exit code. Raises NoAnswer.
 
-    An existing file is replaced whole or not at all. With `members` the page holds jobs only: those of `teams`, or
-    of all teams if that is empty, with other words in place of their names unless `names`.
+    An existing file is replaced whole or not at all. With `members` the page holds jobs only: those of `teams`, or of
+    all teams if that is empty, with pseudonyms in place of the jobs' names unless `names` is true.
     """
     try:
         from pepperlatch.console import report as report_page
--- a/pepperlatch/command/output.py
+++ b/pepperlatch/command/output.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-# colour of a table cell by its whole text
+# The colour of a table cell, by the cell's whole text.
 CELL_STYLES = {"done": "green", "running": "cyan", "withdrawn": "red", "refused": "red", "cancelled": "red"}
 
 
--- a/pepperlatch/command/pipelines.py
+++ b/pepperlatch/command/pipelines.py
@@ -82,7 +82,10 @@
 
 
 def run(client: Client, plan: plans.Plan, wait: bool) -> int:
-    """Submit a plan and print its run, with `wait` once it is over; the same plan again completes what is missing."""
+    """Submit a plan and print its run, with `wait` once it is over.
+
+    Submitting the same plan again creates only the jobs that are missing.
+    """
     return _start_run(client, "PUT", f"{PIPELINES_PATH}/{plan.run_name}", {"plan": _pack(plan)}, wait)
 
 
@@ -95,7 +98,7 @@
 
 
 def add_schedule(client: Client, compiled_file: "CompiledFile") -> int:
-    """Store the schedule of a file, replacing one of the same name. Raises ValueError if the file has none."""
+    """Store the schedule of a file; one of the same name is replaced. Raises ValueError if the file has none."""
     if compiled_file.schedule is None:
         raise ValueError("the file has no `schedule`")
     body = {"plan": _pack(compiled_file.plan), "schedule": compiled_file.schedule}
@@ -142,7 +145,7 @@
 def _print_refusal(client: Client, status: int, answer: Any) -> None:
     """Print the reason of a refusal, every place in the file that it names, and the differences from an earlier run.
 
-    Error text and status tell a service with pipelines switched off from an unknown run.
+    The error text and the status show whether the run is unknown or the service has pipelines switched off.
     """
     if client.output_format == "json":
         output.print_json(answer)
@@ -197,7 +200,7 @@
 async def _fetch_run(client: Client, name: str, wait: bool) -> Any:
     """A run with all its steps, fetched page by page; with `wait` once it is over, reporting each change of status.
 
-    If the run is unknown, the refusal, which has no `rows`.
+    If the run is unknown, returns the refusal, which has no `rows`.
     """
     reported = ""
 
--- a/pepperlatch/command/preferences.py
+++ b/pepperlatch/command/preferences.py
@@ -1,7 +1,7 @@
 """A user's preferences for the command line. An option overrides an environment variable, which overrides the file.
 
-The file is `config.toml` below the user's configuration directory (on Linux `~/.config/pepperlatch/`), or the
-file that PEPPERLATCH_CONFIG names:
+The file is `config.toml` below the user's configuration directory (on Linux `~/.config/pepperlatch/`), or the file that
+PEPPERLATCH_CONFIG names:
 
     nodes = ["10.0.0.1:8080", "10.0.0.2:8080"]        # PEPPERLATCH_NODES, comma-separated
     admin_nodes = ["10.0.0.1:8081"]                   # PEPPERLATCH_ADMIN_NODES
--- a/pepperlatch/command/retrying_client.py
+++ b/pepperlatch/command/retrying_client.py
@@ -27,15 +27,15 @@
 class RetryingClient:
     """Sends a request to the nodes in turn until one gives a final response or `timeout_s` seconds have passed.
 
-    `nodes` are addresses as HOST:PORT. `report_retry` is called with a text before each pause. Raises SettingsError on
-    creation if there is no node or an address is malformed.
+    `nodes` are addresses as HOST:PORT. `report_retry` is called with a text before each retry. The constructor raises
+    SettingsError if there is no node or an address is malformed.
     """
 
     nodes: Sequence[str]
     timeout_s: float
     report_retry: Callable[[str], None]
     network: Any = field(default_factory=lambda: HttpNetwork(c.MAX_CLIENT_CONNECTIONS))
-    _next_node: int = 0  # number of the node to try next, counted on past the length of `nodes`
+    _next_node: int = 0  # index of the node to try next, modulo the length of `nodes`
 
     def __post_init__(self) -> None:
         if not self.nodes:
--- a/pepperlatch/command/serve.py
+++ b/pepperlatch/command/serve.py
@@ -1,4 +1,4 @@
-"""Runs a controller. Imports neither what a controller does not need nor features that are switched off."""
+"""Runs a controller. Imports only what a controller needs, and only the features that are switched on."""
 
 import os
 import sys
@@ -12,7 +12,7 @@
 
 
 def serve(path: str, features_path: Path | None = None) -> int:
-    """Run a controller until its process is ended; returns exit code 2 at once if a file cannot be used.
+    """Run a controller until its process ends; returns exit code 2 at once if a file cannot be used.
 
     Called by `run.py` and `pepperlatch serve`. `path` is the settings file; without `features_path` every optional
     feature is off. An error is printed to standard error, since logging is not configured yet.
--- a/pepperlatch/constants/core.py
+++ b/pepperlatch/constants/core.py
@@ -98,7 +98,7 @@
 ATTESTATION_AFTER_S: Final = 1.5  # s
 # Records in one attestation, at most some 40 KB; more than a minute's cancellations.
 MAX_ATTESTED_CANCELLATIONS: Final = 60
-# The longest that a user who cancels a job waits until the leader has been told.
+# The longest time that a user who cancels a job waits until the leader has been notified.
 CANCEL_NOTIFY_TIMEOUT_S: Final = 0.15  # s
 MAX_CANCELLATIONS_REMEMBERED: Final = 500  # cancelled jobs whose versions are remembered, 50 KB; some minutes' worth
 FENCE_TIMEOUT_S: Final = 1.0  # s; deadline of one attempt to fence a machine
@@ -191,7 +191,7 @@
 # From the last task of a job to the first of the next: reports, a record, a launch, its image.
 CHAIN_STEP_S: Final = 3.0  # s
 MAX_NAME_CHARS_SHOWN: Final = 100  # characters shown of a name that no job has; it may be as long as a request
-MAX_NAMES_SHOWN: Final = 3  # jobs named in a waiting reason; further ones are only counted
+MAX_NAMES_SHOWN: Final = 3  # jobs named in a waiting reason, where further ones are only counted; types in a refusal
 
 # --- planning -------------------------------------------------------------------------------------
 TICK_S: Final = 0.5  # s; interval of the housekeeping when nothing else happens
--- a/pepperlatch/features.py
+++ b/pepperlatch/features.py
@@ -24,8 +24,8 @@
 class Public(msgspec.Struct, forbid_unknown_fields=True):
     """The members' view.
 
-    `listen`: address of its own listener, none if empty. `teams`: teams whose jobs are shown, all if empty.
-    `names`: whether ids of jobs are shown; if not, each job has a pseudonym that stays the same.
+    `listen`: address of its own listener, none if empty. `teams`: teams whose jobs are shown, all if empty. `names`:
+    whether ids of jobs are shown; if not, each job has a pseudonym that stays the same.
     """
 
     listen: str = ""
--- a/pepperlatch/pipelines/canonical.py
+++ b/pepperlatch/pipelines/canonical.py
@@ -6,9 +6,9 @@
 - `key` is the occasion that the user named, or "";
 - `again` is "" unless the job is deliberately submitted anew.
 
-The id is `run-` and the first 40 hexadecimal digits of the form's SHA-256 (FIPS 180-4). It depends neither on the
-order of fields nor on whether the job is submitted alone or by a pipeline. Every version must compute the same ids, or
-a job that is submitted to two versions would run twice.
+The id is `run-` and the first 40 hexadecimal digits of the form's SHA-256 (FIPS 180-4). It depends neither on the order
+of fields nor on whether the job is submitted alone or by a pipeline. Every version must compute the same ids, or a job
+that is submitted to two versions would run twice.
 """
 
 import hashlib
--- a/pepperlatch/pipelines/compile.py
+++ b/pepperlatch/pipelines/compile.py
@@ -14,16 +14,16 @@
 from pepperlatch.pipelines.document import Document, InvalidFile, Mistake, Path
 from pepperlatch.protocol import wire
 
-_PLACEHOLDER = re.compile(r"\{(\w[\w.-]*)\}")  # of a matrix value
+_PLACEHOLDER = re.compile(r"\{(\w[\w.-]*)\}")  # stands for a matrix value
 _INVALID_NAME_CHARS = re.compile(r"[^A-Za-z0-9_.-]+")
 # Values of the fields that neither a step nor `defaults` sets; the names are those of `model.Shared`.
 _DEFAULTS = {
     "kind": "array", "count": 1, "gpus": 0.0, "image_gb": 0.0, "types": None, "zone": None, "one_zone": False,
     "spread": False, "spot": False, "checkpoint_every": 0.0, "checkpoint_cost": 0.0, "priority": "normal",
 }  # fmt: skip
-# Fields that a step or `defaults` must set; of a service all but `estimate`.
+# Fields that a step or `defaults` must set; a service needs no `estimate`.
 _REQUIRED = ("job_class", "team", "cpus", "memory_gb", "image", "estimate")
-# Fields of a pipeline file that `wire.job_to_wire` takes by another name.
+# Fields of a pipeline file that have another name in `wire.job_to_wire`.
 _JOB_FIELDS = {
     "count": "tasks", "estimate": "estimate_s", "checkpoint_every": "checkpoint_s", "checkpoint_cost": "save_s",
 }  # fmt: skip
@@ -38,9 +38,9 @@
 
 
 def compile_file(data: bytes, key: str | None = None, team: str = "") -> CompiledFile:
-    """Compile a file. Raises InvalidFile.
+    """Compile a file. Raises InvalidFile with all its mistakes.
 
-    `key`: replaces the file's own, unless it is None. `team`: of the steps for which the file names no team.
+    `key`: replaces the file's own key, unless it is None. `team`: the team of the steps for which the file names none.
     """
     parsed = document.load(data)
     try:
@@ -77,7 +77,7 @@
 
 
 def _schema_mistakes(parsed: Document, error: ValidationError) -> Iterator[Mistake]:
-    """One mistake for each value, also where pydantic reports an error for each form that the value may have."""
+    """One mistake for each value, even where pydantic reports an error for each type that the value may have."""
     seen: set[Path] = set()
     for row in error.errors(include_url=False):
         path = _path_in_file(row["loc"], parsed.value)
@@ -95,7 +95,7 @@
 
 
 def _path_in_file(loc: tuple[Any, ...], value: Any) -> Path:
-    """The path of a pydantic error without the names of union branches, which are in no file."""
+    """The path of a pydantic error without the names of union branches, which do not occur in the file."""
     path: list[str | int] = []
     for number, part in enumerate(loc):
         inside = (isinstance(value, dict) and part in value) or (isinstance(value, list) and isinstance(part, int))
@@ -173,7 +173,8 @@
     def _job(self, i: int, step: model.Step, values: dict[str, Any]) -> dict[str, Any]:
         """The job's fields by the names that users see.
 
-        A field is taken from the step, else from `defaults`, else (only the team) from the file, else from _DEFAULTS.
+        A field is taken from the step, else from `defaults`, else from _DEFAULTS. A team that neither the step nor
+        `defaults` names is the file's, else the builder's `team`.
         """
         fields: dict[str, Any] = {**_DEFAULTS, "team": self.file.team or self.team or None}
         fields |= self.file.defaults.model_dump(exclude_none=True) | step.model_dump(
--- a/pepperlatch/pipelines/document.py
+++ b/pepperlatch/pipelines/document.py
@@ -1,6 +1,7 @@
 """Reads YAML: values by the core schema of YAML 1.2, and the line and column of each value.
 
-Size and depth are checked before anything is built, the number of values, with aliases written out, while it is read.
+The size and the depth are checked before any value is built; the number of values, with aliases expanded, is checked
+while they are read.
 """
 
 import re
@@ -30,14 +31,14 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class Mistake:
-    """One fault of a file: its position, a text for users, and the path to the value that it concerns."""
+    """One mistake in a file: its position, a text for users, and the path to the value that it concerns."""
 
     position: Position
     text: str
     path: str = ""
 
     def format(self, name: str) -> str:
-        """One line for users; `name`: of the file. Example: `billing.yaml:12:9: steps[2].needs[0]: ...`"""
+        """One line for users, for example `billing.yaml:12:9: steps[2].needs[0]: ...`; `name` is the file's name."""
         return (
             f"{name}:{self.position.line}:{self.position.column}: "
             + (f"{self.path}: " if self.path else "")
@@ -46,7 +47,7 @@
 
 
 class InvalidFile(Exception):
-    """A file cannot be used. `mistakes` lists all its faults in order of position."""
+    """A file cannot be used. `mistakes` lists all its mistakes in order of position."""
 
     def __init__(self, mistakes: list[Mistake]) -> None:
         super().__init__(mistakes[0].text)
@@ -130,7 +131,7 @@
 
     document: Document
     mistakes: list[Mistake] = field(default_factory=list)
-    _count: int = 0  # values read so far, with aliases written out
+    _count: int = 0  # values read so far, with aliases expanded
     _ancestors: set[int] = field(default_factory=set)  # ids of the nodes that enclose the one being read
 
     def read(self, node: yaml.Node, path: Path) -> Any:
@@ -153,6 +154,7 @@
             self._ancestors.discard(id(node))
 
     def _mapping(self, node: yaml.Node, path: Path) -> dict[str, Any]:
+        """The value of a mapping; keys that are no names, merge keys and repeated keys are recorded as mistakes."""
         value: dict[str, Any] = {}
         for key_node, child in node.value:
             position = _position(key_node.start_mark)
@@ -174,6 +176,7 @@
         return value
 
     def _scalar(self, node: yaml.ScalarNode) -> Any:
+        """The value of a scalar: a text if it is quoted, else by the core schema; a tag is recorded as a mistake."""
         text: str = node.value
         if node.style not in (None, "") or not isinstance(text, str):
             return text
@@ -191,5 +194,4 @@
 
 def _int(text: str) -> int | float:
     """An integer; as a float if it has more than 30 characters, so that the schema reports it as out of range."""
-
     return int(text) if len(text) <= 30 else float(text)
--- a/pepperlatch/pipelines/extension.py
+++ b/pepperlatch/pipelines/extension.py
@@ -1,6 +1,7 @@
-"""The pipelines extension of a controller: thin, so that it costs next to nothing at the controller's start.
+"""The pipelines extension of a controller.
 
-The implementation (`service`) is imported at the first request, or when the leader finds a pending run or a schedule.
+To keep the controller's start fast, the implementation (`service`) is imported only at the first request, or when the
+leader finds a pending run or a schedule.
 """
 
 from collections.abc import Sequence
@@ -35,7 +36,10 @@
         self._nursery: trio.Nursery | None = None
 
     def _service(self) -> "PipelineService":
-        """The service, created when first needed. Raises NotExecuted while `run` does not run, as before a restart."""
+        """The service, created when first needed.
+
+        Raises NotExecuted while `run` is not running, for example until the extension is restarted after an error.
+        """
         if self._nursery is None:
             raise NotExecuted("pipelines are being started")
         if self._created_service is None:
@@ -67,8 +71,8 @@
     async def run_while_leading(self, term: Term) -> None:
         """Resume abandoned runs and start the runs that are due by schedule, every RUN_SCAN_INTERVAL_S.
 
-        A run that is pending in two scans in a row counts as abandoned: its node died or was cut off before it was
-        through. If the state service does not answer, the next scan tries again.
+        A run that is pending in two scans in a row counts as abandoned: its node died or was cut off before it had
+        created or cancelled all jobs. If the state service does not answer, the next scan tries again.
         """
         pending_before: set[str] = set()  # keys that the scan before found
         while not term.over:
--- a/pepperlatch/pipelines/plan.py
+++ b/pepperlatch/pipelines/plan.py
@@ -1,4 +1,4 @@
-"""A plan: the content of a pipeline file, as it is sent to a controller and recorded. Pure: no I/O, no clock.
+"""A plan: the content of a pipeline file in the form that is sent to a controller and recorded. No I/O, no clock.
 
 The command line and the controllers check plans with the same functions.
 """
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Problem:
-    """A fault of a plan: what is wrong, and where in the plan it is."""
+    """A problem of a plan: what is wrong, and where in the plan it is."""
 
     path: Path
     text: str
@@ -130,7 +130,7 @@
 
 
 def find_problems(plan: Plan, repeats: Collection[str] | None = None) -> list[Problem]:
-    """All that keeps the plan from being run. `repeats`: classes of jobs that may run again, None if not known."""
+    """All reasons why the plan cannot be run. `repeats`: classes of jobs that may run again, None if not known."""
     if found := find_structure_problems(plan):
         return found
     try:
@@ -145,7 +145,7 @@
 
 
 def find_structure_problems(plan: Plan) -> list[Problem]:
-    """The faults in names and needs alone; the jobs' descriptions are not checked."""
+    """The problems of names and needs alone; the jobs' descriptions are not checked."""
     return list(_name_problems(plan)) + list(_need_problems(plan))
 
 
@@ -238,7 +238,7 @@
 class Timing:
     """Estimated start and end of a step, in seconds after the run's start.
 
-    `slack_s`: by how many seconds it may end later without making a deadline late; inf without a deadline.
+    `slack_s`: by how many seconds it may end later without a deadline being missed; inf without a deadline.
     """
 
     starts_s: float
--- a/pepperlatch/pipelines/runs.py
+++ b/pepperlatch/pipelines/runs.py
@@ -1,8 +1,8 @@
-"""The stored record of a run, and the transactions that advance it. Pure: no I/O, no clock.
+"""The stored record of a run, and the transactions that advance it. No I/O, no clock.
 
-A run is recorded before the first of its jobs, and every transaction that creates jobs is conditional on the version
-of the run's record: once the run is cancelled or refused no further job can be created, not even by a delayed
-transaction. Only the state service knows which jobs exist, so a node that resumes a run reads that first.
+A run is recorded before the first of its jobs, and every transaction that creates jobs is conditional on the version of
+the run's record: once the run is cancelled or refused no further job can be created, not even by a delayed transaction.
+Only the state service knows which jobs exist, so a node that resumes a run reads that first.
 
     open -> sent | refusing | cancelling;  sent -> cancelling;  refusing -> refused;  cancelling -> cancelled
 """
--- a/pepperlatch/pipelines/schedule_service.py
+++ b/pepperlatch/pipelines/schedule_service.py
@@ -1,7 +1,7 @@
 """HTTP requests for schedules, which any node answers, and the start of due runs, which the leader does.
 
-A due time is handled in one transaction that sets the schedule's record to it and records the run. The transaction
-is conditional on the record's version, so two leaders, or a delayed or repeated transaction, start the run only once.
+A due time is handled in one transaction that sets the schedule's record to it and records the run. The transaction is
+conditional on the record's version, so two leaders, or a delayed or repeated transaction, start the run only once.
 """
 
 import logging
@@ -71,6 +71,7 @@
         return Response(404, {"error": "no such path"})
 
     async def _list_schedules(self) -> Response:
+        """The first STEPS_PER_PAGE schedules, and how many there are in all."""
         _, pairs = await self._state.read_all(keys.SCHEDULE)
         rows = [self._row(pair.key[len(keys.SCHEDULE) :], wire.convert(pair.value, ScheduleRecord)) for pair in pairs]
         return Response(200, {"schedules": rows[: c.STEPS_PER_PAGE], "total": len(rows)})
@@ -104,6 +105,7 @@
         return await self._store_schedule(name, request.schedule, packed, plans.digest(plan))
 
     async def _store_schedule(self, name: str, schedule: Schedule, packed: str, digest: str) -> Response:
+        """Record a checked schedule, unless the same one is recorded already. A paused schedule stays paused."""
         existing, version = await self._read_schedule(name) or (None, 0)
         record = ScheduleRecord(schedule.cron, schedule.timezone, schedule.missed, digest, 0, self._wall())
         if existing is not None and _same_content(existing, record):
@@ -127,6 +129,7 @@
         return Response(200, self._row(name, record))
 
     async def _read_schedule(self, name: str) -> tuple[ScheduleRecord, int] | None:
+        """The record of a schedule and its version; None if there is no such schedule."""
         pair = await self._state.read(keys.SCHEDULE + name)
         return (wire.convert(pair.value, ScheduleRecord), pair.version) if pair is not None else None
 
--- a/pepperlatch/pipelines/schedules.py
+++ b/pepperlatch/pipelines/schedules.py
@@ -1,4 +1,4 @@
-"""When a scheduled pipeline is due, and the transactions on its record. Pure: the time of day is an argument.
+"""When a scheduled pipeline is due, and the transactions on its record. No I/O; the time of day is an argument.
 
 cronsim evaluates the cron expressions in a named time zone of the tz database. A due time in the hour that clocks skip
 in spring moves to the end of that hour. A due time in the hour that occurs twice in autumn comes in the first of the
@@ -43,7 +43,7 @@
 
 
 def find_problem(cron: str, timezone: str) -> tuple[str, str] | None:
-    """The name of the field that is wrong, and why; None if the schedule is valid and ever due."""
+    """The name of the field that is wrong, and why; None if the schedule is valid and is due at some time."""
     try:
         zone = ZoneInfo(timezone)
     except (KeyError, ValueError, OSError):
@@ -73,10 +73,10 @@
 
 
 def due_times(record: ScheduleRecord, now: float) -> list[float]:
-    """The due times that are to be run now, earliest first; all times of day in seconds.
+    """The due times that are to be run now, earliest first; all are times of day in seconds.
 
-    These are the unhandled ones of the last MISSED_AFTER_S. If there are none, it is the latest missed one, unless the
-    schedule skips missed ones.
+    These are the unhandled due times of the last MISSED_AFTER_S. If there are none, it is the latest missed one, unless
+    the schedule skips missed ones.
     """
     if record.paused:
         return []
--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -108,6 +108,7 @@
         return Response(404, {"error": "no such path"})
 
     async def _put_run(self, run_name: str, body: bytes) -> Response:
+        """Start a run, or advance it if it exists with the same content."""
         try:
             plan = plans.unpack(wire.convert(orjson.loads(body), _RunBody).plan)
         except (orjson.JSONDecodeError, msgspec.ValidationError, InvalidPlan) as error:
@@ -116,7 +117,7 @@
         return refusal or await self._start_run(plan)
 
     def refuse_malformed(self, plan: Plan, run_name: str) -> Response | None:
-        """The 400 answer if the plan itself is wrong or belongs to another run than `run_name`; None if it is fine."""
+        """The 400 answer if the plan itself is wrong or belongs to another run than `run_name`; else None."""
         problems = plans.find_problems(plan, self._repeats)
         if not problems and plan.run_name == run_name:
             return None
@@ -126,7 +127,7 @@
         return Response(400, {"error": "the plan cannot be run", "problems": shown})
 
     async def _start_run(self, plan: Plan) -> Response:
-        """Refuse the plan whole, or record its run and advance it.
+        """Refuse the whole plan, or record its run and advance it.
 
         A run that exists already is advanced if its content is the same, else the request is refused with 409.
         """
@@ -165,7 +166,10 @@
         return Response(400, {"error": "the plan is larger than what is recorded at once"})
 
     async def refuse_unrunnable(self, plan: Plan) -> Response | None:
-        """The answer if any job of the plan would be refused, before any of them is created; None if all are fine."""
+        """The refusal if any job of the plan would be refused; None if all would be accepted.
+
+        Called before any of the jobs is created. Other tasks get a turn after every CHECKS_PER_BATCH jobs.
+        """
         found: list[dict[str, Any]] = []
         specs = plans.job_specs(plan)
         for number, step in enumerate(plan.steps):
@@ -237,6 +241,7 @@
         return Response(200, answer)
 
     def _step_row(self, loaded: LoadedRun, name: str) -> dict[str, Any]:
+        """A step as users see it, with the state of its job, or "not sent" while that is not created."""
         spec = loaded.specs[name]
         entry = self._core.watcher.replica.jobs.get(spec.id)
         if entry is None:
@@ -255,6 +260,10 @@
         return str((wire.JobState.DONE if all_done else wire.JobState.RUNNING).value)
 
     async def _cancel_run(self, run_name: str) -> Response:
+        """Cancel the run unless that has begun already.
+
+        Answers as `_answer_when_settled`, but with 200 for a refused run too.
+        """
         loaded = await self._load_run(run_name)
         if loaded is None:
             return Response(404, {"error": "no such run"})
@@ -335,7 +344,7 @@
         return cached
 
     async def read_pieces(self, prefix: str, pieces: int) -> str:
-        """Join a text stored in pieces; it is shorter if some are gone, and then no plan can be unpacked from it."""
+        """Join a text stored in pieces; if some are gone it is cut short, and no plan can be unpacked from it."""
         found = [await self._state.read(f"{prefix}/{number}") for number in range(pieces)]
         return "".join(piece.value["text"] for piece in found if piece is not None)
 
--- a/pepperlatch/protocol/cloud.py
+++ b/pepperlatch/protocol/cloud.py
@@ -1,6 +1,6 @@
 """Client of the cloud's interface, within its rate limit.
 
-The leader rents and returns machines; while nobody leads, other controllers may return some.
+The leader rents and returns machines; while no controller leads, the others may return some.
 """
 
 from collections.abc import Callable
@@ -34,6 +34,7 @@
         self._call_rate = TokenBucket(limits.rps * c.CLOUD_RATE_SHARE, c.CLOUD_BURST_S)
 
     async def _call(self, method: str, path: str, body: Any = None) -> Any:
+        """Send one request after waiting for the rate limit; returns the body. Raises CloudError or NoCapacity."""
         wait = self._call_rate.take(self._clock())
         if wait > 0:
             await trio.sleep(wait)
--- a/pepperlatch/protocol/http/server.py
+++ b/pepperlatch/protocol/http/server.py
@@ -61,6 +61,7 @@
         self._open = 0
 
     async def serve(self, host: str, port: int, *, task_status: Any = trio.TASK_STATUS_IGNORED) -> None:
+        """Listen until cancelled. Raises OSError if the port cannot be opened."""
         await trio.serve_tcp(self._connection, port, host=host, backlog=256, task_status=task_status)
 
     async def _connection(self, stream: trio.abc.Stream) -> None:
@@ -77,6 +78,7 @@
             self._open -= 1
 
     async def _requests(self, stream: trio.abc.Stream) -> None:
+        """Answer the requests of one connection, one after the other, until it is closed or one is refused."""
         conn = h11.Connection(h11.SERVER)
         while True:
             try:
@@ -98,6 +100,7 @@
             conn.start_next_cycle()
 
     async def _answer(self, request: Request) -> Response:
+        """The handler's answer; 500 if the handler raises an exception, which is logged."""
         try:
             return await self._handler(request)
         except Exception:
--- a/pepperlatch/protocol/state.py
+++ b/pepperlatch/protocol/state.py
@@ -46,6 +46,7 @@
 
     @property
     def applied(self) -> bool:
+        """Whether the transaction was applied; if not, no write of it was."""
         return not self.failed
 
 
@@ -108,6 +109,7 @@
         return self.last_success_at >= self.last_failure_at
 
     def _on_failure(self) -> None:
+        """Record a request without an answer, or with status 503, for `reachable`."""
         if self.reachable():
             self.failing_since = self._clock()
         self.last_failure_at = self._clock()
--- a/pepperlatch/protocol/token_bucket.py
+++ b/pepperlatch/protocol/token_bucket.py
@@ -41,6 +41,7 @@
         self.min_rate, self.max_rate, self.rate = min_rate, max_rate, max_rate
 
     def available(self, now: float) -> float:
+        """Tokens held at `now`, after the rate has recovered up to `now`."""
         self.rate = min(
             self.max_rate,
             self.rate + max(0.0, now - self.updated_at) * (self.max_rate - self.min_rate) / self.recovery_s,
--- a/pepperlatch/protocol/wire.py
+++ b/pepperlatch/protocol/wire.py
@@ -83,8 +83,8 @@
     `types`: names of the machine types that are allowed, None for all. `zone`: the only allowed zone. `one_zone`: all
     tasks in the same zone. `spread`: at most half of the tasks in one zone. `spot`: spot machines are allowed.
     `image_gb`: size of the image that a machine fetches before the task starts. `estimate_s`: expected run time of a
-    task in seconds. `checkpoint_s`: seconds between two checkpoints, 0 for none.
-    `save_s`: seconds that a checkpoint takes. `deadline_s`: seconds from acceptance until the job is due.
+    task in seconds. `checkpoint_s`: seconds between two checkpoints, 0 for none. `save_s`: seconds that a checkpoint
+    takes. `deadline_s`: seconds from acceptance until the job is due.
     """
 
     id: str
@@ -363,6 +363,7 @@
 
 
 def condition_key(condition: dict[str, Any]) -> str:
+    """The key that a condition is about."""
     return str(condition["k"])
 
 
@@ -380,10 +381,12 @@
 
 
 def delete(key: str) -> dict[str, Any]:
+    """Write of a transaction that deletes the key."""
     return {"delete": key}
 
 
 def txn_body(conditions: list[dict[str, Any]], writes: list[dict[str, Any]]) -> dict[str, Any]:
+    """Body of a transaction; conditions and writes are made by `version_condition`, `put` and `delete`."""
     return {"when": conditions, "writes": writes} if writes else {"when": conditions}
 
 
@@ -398,14 +401,17 @@
 
 
 def revision_of(answer: dict[str, Any]) -> int:
+    """The state service's revision in the answer to a transaction."""
     return int(answer["ledger_mark"])
 
 
 def lease_body(ttl_ms: int) -> dict[str, Any]:
+    """Body of a request for a lease of `ttl_ms` milliseconds."""
     return {"life_ms": ttl_ms}
 
 
 def lease_of(answer: dict[str, Any]) -> int:
+    """The number of the granted lease."""
     return int(answer["tenancy"])
 
 
--- a/pepperlatch/settings.py
+++ b/pepperlatch/settings.py
@@ -53,9 +53,9 @@
 class WorkerTimings(msgspec.Struct):
     """The workers' timings in seconds.
 
-    `report_s`: between two reports. `lease_s`: a worker without an answer for this long ends its tasks.
-    `gang_wait_s`: how long a gang's task waits for the others. `gang_peer_s`: how long one may be missing before the
-    gang ends. `cancel_s`: bound within which a cancelled job's tasks have to be gone.
+    `report_s`: between two reports. `lease_s`: a worker without an answer for this long ends its tasks. `gang_wait_s`:
+    how long a gang's task waits for the others. `gang_peer_s`: how long one may be missing before the gang ends.
+    `cancel_s`: bound within which a cancelled job's tasks have to be gone.
     """
 
     report_s: float
@@ -173,6 +173,7 @@
 
 
 def _check(settings: Settings) -> None:
+    """Check addresses, numbers that must be positive, and that `cancel_s` exceeds `lease_s`. Raises SettingsError."""
     addresses = [settings.listen, settings.peer_listen, settings.services.cloud, settings.services.state]
     for address in addresses + [peer.addr for peer in settings.peers]:
         split_address(address)
