--- a/pepperlatch/constants/core.py
+++ b/pepperlatch/constants/core.py
@@ -252,9 +252,9 @@
 # Half of CONTACT_INTERVAL_S: six followers ask in that time, and what users are shown may lag by seconds.
 LEADER_SUMMARY_CACHE_S: Final = 0.3  # s
 # A node that the leader asks for it does not renew workers' leases in the leader's place for this long.
-DELEGATED_RENEWAL_BAR_S: Final = 3.0  # s
+RENEWAL_REVOCATION_S: Final = 3.0  # s
 # The leader counts on that for this much less, since timers may fire late.
-DELEGATED_RENEWAL_BAR_MARGIN_S: Final = 0.3  # s
+RENEWAL_REVOCATION_MARGIN_S: Final = 0.3  # s
 # Pause before a job that had other tasks stopped, and still found no place, may have further ones stopped.
 PREEMPT_PAUSE_S: Final = 4.0  # s
 # Three requests without an answer; workers are not redirected to a leader that is silent for this long.
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -237,7 +237,7 @@
         answer = await self._request(peer, PEER_REVOKE_RENEWAL, message)
         if answer is not None:
             self._peer_answered_at = self._clock()
-            until = sent + c.DELEGATED_RENEWAL_BAR_S - c.DELEGATED_RENEWAL_BAR_MARGIN_S
+            until = sent + c.RENEWAL_REVOCATION_S - c.RENEWAL_REVOCATION_MARGIN_S
             self._command_loop.enqueue(lambda: leader.cluster.on_promise(peer.node, answer, until, self._clock()))
 
     async def _request(self, peer: Peer, path: str, message: PeerMessage) -> dict[str, Any] | None:
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -225,7 +225,7 @@
             known_leader is not None
             and known_leader[1] == contact.token == report.token
             and not self._state_service_reachable()
-            and now > max(self._renewal_revoked_until, self._began_at + c.DELEGATED_RENEWAL_BAR_S)
+            and now > max(self._renewal_revoked_until, self._began_at + c.RENEWAL_REVOCATION_S)
             and now < renewal_deadline(self._lease_extension_s, self._replica.current_at, contact.requested_at)
         )
 
@@ -240,7 +240,7 @@
         return Response(200, wire.report_answer(report.token, orders))
 
     def revoke_renewal(self, unreached: list[str]) -> dict[str, float]:
-        """The leader is alive: renew no leases on its behalf for DELEGATED_RENEWAL_BAR_S.
+        """The leader is alive: renew no leases on its behalf for RENEWAL_REVOCATION_S.
 
         `unreached`: machines that the leader reaches only through other controllers; their reports are accepted here.
         Returns, by machine, the seconds since its lease was last renewed here (those within two lease times), and under
@@ -248,7 +248,7 @@
         """
         now = self._clock()
         self.routes.accept_locally(unreached, now)
-        self._renewal_revoked_until = now + c.DELEGATED_RENEWAL_BAR_S
+        self._renewal_revoked_until = now + c.RENEWAL_REVOCATION_S
         oldest = now - 2 * self._lease_s
         self._renewed_at = {name: at for name, at in self._renewed_at.items() if at > oldest}
         ages = {name: round(now - at, 3) for name, at in self._renewed_at.items()}
--- a/tests/acceptance/test_fast_restarts.py
+++ b/tests/acceptance/test_fast_restarts.py
@@ -201,7 +201,7 @@
         reports._replica.current_at = trio.current_time()
         shown = report(1, 1, token=reports.leader_contact.token)
         assert not reports._may_renew_lease(shown)
-        await trio.sleep(c.DELEGATED_RENEWAL_BAR_S)
+        await trio.sleep(c.RENEWAL_REVOCATION_S)
         reports._renewal_revoked_until = reports._state.last_success_at = float("-inf")
         assert reports._may_renew_lease(shown)
 
