--- a/pepperlatch/constants/core.py
+++ b/pepperlatch/constants/core.py
@@ -224,8 +224,8 @@
 QUARANTINE_FAILED_TASKS: Final = 2  # different tasks failed in a row before a machine is taken to be faulty
 FAULTY_JOB_MACHINES: Final = 3  # machines that a job must fail on before the job is taken to be at fault
 JOB_BACKOFF_S: Final = 2.0  # s; first pause of a failing job, which then doubles
-MAX_JOB_BACKOFF_S: Final = 60.0  # s; a job submitted with a mistake must not spoil machines
-LATE_TASK_SHARE: Final = 0.25  # share of its estimate that a task that has exceeded it is expected to need still
+MAX_JOB_BACKOFF_S: Final = 60.0  # s; a job submitted with a mistake must not make healthy machines count as faulty
+LATE_TASK_SHARE: Final = 0.25  # share of its estimate that a task that has exceeded it is still expected to need
 ESTIMATE_SAFETY_FACTOR: Final = 1.3  # times; owners' estimates are often wrong by a half
 SLACK_SHARE: Final = 0.95  # share of the time left that waiting may use up before a machine is rented
 SLOW_MACHINE_FACTOR: Final = 1.8  # times the usual run time; machines differ by a tenth, estimates by a half
@@ -237,9 +237,9 @@
 FETCH_TIME_FACTOR: Final = 1.33  # times; fetching an image may take a third longer than the type's rate says
 EMPTYING_SHARE: Final = 0.4  # share in use by replicas; below it an ordinary machine may soon be empty
 TASK_START_S: Final = 0.5  # s; from planning a launch to the task's start where the image is present
-# After this wait a job of which nothing runs uses room reserved for others; users take a job for lost after 90 s.
+# After this wait a job of which nothing runs uses room reserved for others; users regard a job as lost after 90 s.
 MAX_RESERVATION_WAIT_S: Final = 75.0  # s
-# A job of which no task has started by then goes first; users take a job for lost after four minutes.
+# A job of which no task has started by then goes first; users regard a job as lost after four minutes.
 OVERDUE_S: Final = 200.0  # s
 OVERDUE_GANG_S: Final = 100.0  # s; the same for a gang, which needs further time until tasks in its place have ended
 GANG_RESERVATION_S: Final = 100.0  # s; other jobs leave free room to a gang for this long, then use it for as long
@@ -249,9 +249,9 @@
 CHEAP_ROOM_WAIT_SHARE: Final = 0.4
 MAX_PREEMPTIONS_PER_ROUND: Final = 8  # tasks stopped for others in one round, so that a round cannot empty the cluster
 CONTACT_INTERVAL_S: Final = 0.7  # s; interval of the contacts between leader and followers; two attempts may fail
-# Half of CONTACT_INTERVAL_S: six followers ask in that time, and what users are shown may lag by seconds.
+# About half of CONTACT_INTERVAL_S: six followers ask in that time, and what users are shown may lag by seconds.
 LEADER_SUMMARY_CACHE_S: Final = 0.3  # s
-# A node that the leader asks for it does not renew workers' leases in the leader's place for this long.
+# After a request of the leader, a node does not renew workers' leases in the leader's place for this long.
 RENEWAL_REVOCATION_S: Final = 3.0  # s
 # The leader counts on that for this much less, since timers may fire late.
 RENEWAL_REVOCATION_MARGIN_S: Final = 0.3  # s
