--- a/pepperlatch/protocol/token_bucket.py
+++ b/pepperlatch/protocol/token_bucket.py
@@ -5,7 +5,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Gains `rate` tokens a second and holds at most `burst_s` seconds' worth; takers may bring it into debt."""
+    """Gains `rate` tokens a second and holds at most `burst_s` seconds' worth; callers may take more than it holds."""
 
     rate: float
     burst_s: float = 1.0
@@ -27,9 +27,9 @@
 class SharedTokenBucket(TokenBucket):
     """A client's part of a rate limit that several clients share without asking each other.
 
-    Each client may use the whole of it (`max_rate`) while the others are quiet. A client that is refused falls to half
-    of its rate, but not below what is surely its own (`min_rate`), and recovers from there to the whole within
-    `recovery_s`.
+    Each client may use the whole of it (`max_rate`) while the others send little. A client that is refused falls to
+    half of its rate, but not below its guaranteed part (`min_rate`), and recovers from that part to the whole within
+    `recovery_s` seconds.
     """
 
     min_rate: float = 0.0
@@ -41,6 +41,7 @@
         self.min_rate, self.max_rate, self.rate = min_rate, max_rate, max_rate
 
     def available(self, now: float) -> float:
+        """Tokens held at `now`, after the rate has recovered up to `now`."""
         self.rate = min(
             self.max_rate,
             self.rate + max(0.0, now - self.updated_at) * (self.max_rate - self.min_rate) / self.recovery_s,
