--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -100,7 +100,7 @@
         if leader is None or message.token != leader.term.token or leader.term.over:
             return Response(404, {"error": "does not lead"})
         now = self._clock()
-        leader.cluster.answered_peer(message.node, now)
+        leader.cluster.allow_delegated_renewal(message.node, now)
         answer = self._job_progress(leader, now)
         if uses := self._images.after(message.images):
             answer[IMAGES] = uses
@@ -224,7 +224,7 @@
         """What the leader sends to all other controllers, unasked."""
         now, cluster = self._clock(), leader.cluster
         return PeerMessage(
-            self._settings.node, leader.term.token, relay=sorted(cluster.machines_to_relay(now)),
+            self._settings.node, leader.term.token, relay=sorted(cluster.machines_needing_forwarding(now)),
             cancelled=cluster.machines_with_cancelled_tasks(now), witnesses=cluster.latest_reporters(),
         )  # fmt: skip
 
@@ -238,7 +238,9 @@
         if answer is not None:
             self._peer_answered_at = self._clock()
             until = sent + c.DELEGATED_RENEWAL_BAR_S - c.DELEGATED_RENEWAL_BAR_MARGIN_S
-            self._command_loop.enqueue(lambda: leader.cluster.on_promise(peer.node, answer, until, self._clock()))
+            self._command_loop.enqueue(
+                lambda: leader.cluster.on_renewal_revoked(peer.node, answer, until, self._clock())
+            )
 
     async def _request(self, peer: Peer, path: str, message: PeerMessage) -> dict[str, Any] | None:
         """The peer's answer, or None if there is no usable one within PROBE_TIMEOUT_S."""
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -102,7 +102,7 @@
 
     def _on_fence_result(self, machine: Machine, report: Report, sent: float, through_others: bool) -> None:
         if through_others:
-            machine.relay_until = self._leader_task.clock() + c.FORWARD_PERIOD_S
+            machine.forwarding_until = self._leader_task.clock() + c.FORWARD_PERIOD_S
         self._on_report(report, sent, through_others)
 
     # --- silent machines --------------------------------------------------------------------------
@@ -265,8 +265,8 @@
         self, machine: Machine, report: Report | None, sent: float, through_others: bool, heard: bool
     ) -> None:  # fmt: skip
         machine.probing = False
-        if through_others:  # its reports are forwarded, see Cluster.machines_to_relay
-            machine.relay_until = self._leader_task.clock() + c.FORWARD_PERIOD_S
+        if through_others:  # its reports are forwarded, see Cluster.machines_needing_forwarding
+            machine.forwarding_until = self._leader_task.clock() + c.FORWARD_PERIOD_S
         machine.probes += heard
         machine.isolated_probes += not heard
         if report is not None:
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -41,11 +41,11 @@
 
 
 @dataclass(slots=True)
-class StandIn:
+class LeaseRenewalDelegate:
     """What the leader knows of a follower that may stand in for it, that is, renew workers' leases in its place."""
 
     answered_at: float = float("-inf")  # when the leader last answered its contact
-    promised_until: float = float("-inf")  # it promised not to stand in before this time
+    revoked_until: float = float("-inf")  # it promised not to stand in before this time
     process_began_by: float = float("inf")  # its process began no later; what an earlier process did is unknown
 
 
@@ -88,7 +88,7 @@
         self.higher_token = False  # a report carried a higher token: another leader was elected
         self._last_number = 0
         self.started = now  # when this leader took over
-        self.stand_ins: dict[str, StandIn] = {}  # by controller
+        self.renewal_delegates: dict[str, LeaseRenewalDelegate] = {}  # by controller
         self.peer_answered_at: dict[str, float] = {}  # by controller: when it last answered this leader
         self.delegations = Delegations()
         self.images = ImageMemory()
@@ -615,9 +615,9 @@
         elif task.end_cause in wire.LAUNCH_REFUSALS:
             job.not_before = now + c.JOB_BACKOFF_S
 
-    def machines_to_relay(self, now: float) -> list[str]:
+    def machines_needing_forwarding(self, now: float) -> list[str]:
         """Names of the machines that only other controllers reach: these are to forward their reports at once."""
-        return [m.name for m in self.machines.values() if now < m.relay_until]
+        return [m.name for m in self.machines.values() if now < m.forwarding_until]
 
     # --- machines that leave or whose lease ends --------------------------------------------------
 
@@ -669,9 +669,9 @@
         if not machine.fenced:
             last = max(last, self.earlier_leaders_until + c.WORKER_LEASE_MARGIN_S - lease_s)
         return now > last + lease_s and all(
-            (now <= other.promised_until and now > other.process_began_by + lease_s)
+            (now <= other.revoked_until and now > other.process_began_by + lease_s)
             or now > other.answered_at + self.lease_extension_s + lease_s
-            for other in self.stand_ins.values()
+            for other in self.renewal_delegates.values()
         )
 
     # --- delegated heartbeats ---------------------------------------------------------------------
@@ -724,14 +724,14 @@
         machine.reached_at = min(machine.reached_at, heard_at)
         machine.heartbeat_at = min(machine.heartbeat_at, heard_at)
 
-    def answered_peer(self, peer: str, now: float) -> None:
+    def allow_delegated_renewal(self, peer: str, now: float) -> None:
         """This leader answers a peer's contact.
 
         From now on the peer may stand in, until `lease_extension_s` s after it asked.
         """
-        self.stand_ins.setdefault(peer, StandIn()).answered_at = now
+        self.renewal_delegates.setdefault(peer, LeaseRenewalDelegate()).answered_at = now
 
-    def on_promise(self, peer: str, stood_in: dict[str, float], until: float, now: float) -> None:
+    def on_renewal_revoked(self, peer: str, stood_in: dict[str, float], until: float, now: float) -> None:
         """A peer promises not to stand in before `until`, and says which machines it answered as a stand-in.
 
         `stood_in`: by machine, seconds since that answer. The peer remembers only what its present process did, whose
@@ -739,9 +739,9 @@
         and only the passing of time proves that the peer does not stand in.
         """
         self.peer_answered_at[peer] = now
-        other, began_s = self.stand_ins.get(peer), stood_in.get(PROCESS_AGE)
+        other, began_s = self.renewal_delegates.get(peer), stood_in.get(PROCESS_AGE)
         if other is not None and began_s is not None:
-            other.promised_until = until
+            other.revoked_until = until
             other.process_began_by = now - began_s
         for name, ago_s in stood_in.items():
             machine = self.machines.get(name)
--- a/pepperlatch/policy/model.py
+++ b/pepperlatch/policy/model.py
@@ -166,7 +166,7 @@
     isolated_probes: int = 0  # the same, when no other controller could tell either: we may be cut off ourselves
     probing: bool = False  # a probe is under way
     fence_failed: bool = False  # an attempt to show it our token got no answer
-    relay_until: float = float("-inf")  # until then only other controllers are taken to reach it
+    forwarding_until: float = float("-inf")  # until then only other controllers are taken to reach it
     sending: bool = False  # a direct command is under way
     send_after: float = 0.0  # no direct command before, after one that failed
     listed: bool = False  # the cloud has listed it
--- a/tests/cuts/test_sessions.py
+++ b/tests/cuts/test_sessions.py
@@ -148,17 +148,17 @@
     assert cluster.lease_over(met, PREDECESSOR_LEASES_END_S + 0.1)
 
 
-def test_a_restarted_stand_in_does_not_know_whose_leases_it_renewed() -> None:
+def test_a_restarted_renewal_delegate_does_not_know_whose_leases_it_renewed() -> None:
     one = machine("n-1")
     cluster = cluster_of(one)
     cluster.on_report(report(1, 5), 1.0, heartbeat=True)
-    cluster.answered_peer("perch-1", 1.0)
+    cluster.allow_delegated_renewal("perch-1", 1.0)
     over = 1.1 + LEASE_S + SLACK_S
-    cluster.on_promise("perch-1", {PROCESS_AGE: 0.5}, over + 2, over)
+    cluster.on_renewal_revoked("perch-1", {PROCESS_AGE: 0.5}, over + 2, over)
     assert not cluster.lease_over(one, over), "its earlier process may have answered the machine half a second ago"
-    cluster.on_promise("perch-1", {}, over + 2, over)
+    cluster.on_renewal_revoked("perch-1", {}, over + 2, over)
     assert not cluster.lease_over(one, over), "an earlier version does not state the age of its process"
-    cluster.on_promise("perch-1", {PROCESS_AGE: 60.0}, over + 2, over)
+    cluster.on_renewal_revoked("perch-1", {PROCESS_AGE: 60.0}, over + 2, over)
     assert cluster.lease_over(one, over)
 
 
--- a/tests/test_large_clusters.py
+++ b/tests/test_large_clusters.py
@@ -341,7 +341,7 @@
         await world.until(lambda: next_leader in world.nodes and world.nodes[next_leader].leader is not None, 6)
         leader = world.nodes[next_leader].leader
         await world.until(lambda: leader is not None and leader.ready and not leader.cluster.unverified, 2)
-        assert leader is not None and far in leader.cluster.machines_to_relay(trio.current_time())
+        assert leader is not None and far in leader.cluster.machines_needing_forwarding(trio.current_time())
 
     run_scenario(scenario)
 
