--- a/pepperlatch/policy/model.py
+++ b/pepperlatch/policy/model.py
@@ -10,7 +10,7 @@
 
 from pepperlatch.constants.core import EMPTYING_SHARE, MIN_REASON_SHOWN_S
 from pepperlatch.constants.core import EPS as EPS
-from pepperlatch.policy.reasons import PLACING, STANDING, Reason
+from pepperlatch.policy.reasons import DEBOUNCED, PLACING, Reason
 from pepperlatch.protocol.wire import PRIORITY_RANK, JobSpec, Kind, MachineType, TaskReport, TaskState
 
 
@@ -106,7 +106,7 @@
         replaces it; otherwise thousands of jobs would change theirs several times a second.
         """
         new = reason.kind is not self.reason.kind
-        if new and now - self.reason_since < MIN_REASON_SHOWN_S and {reason.kind, self.reason.kind} <= STANDING:
+        if new and now - self.reason_since < MIN_REASON_SHOWN_S and {reason.kind, self.reason.kind} <= DEBOUNCED:
             return False
         if new:
             self.reason_since = now
--- a/pepperlatch/policy/overdue_jobs.py
+++ b/pepperlatch/policy/overdue_jobs.py
@@ -17,8 +17,8 @@
 
     A job that failed on a machine never is: one submitted with a mistake would go before its team's others for ever.
     """
-    patience_s = c.OVERDUE_GANG_S if job.spec.kind is Kind.GANG else c.OVERDUE_S
-    return not job.ran and not job.live and not job.failed_on and now - job.since > patience_s
+    max_wait_s = c.OVERDUE_GANG_S if job.spec.kind is Kind.GANG else c.OVERDUE_S
+    return not job.ran and not job.live and not job.failed_on and now - job.since > max_wait_s
 
 
 def first_overdue_by_team(order: list[Job], now: float) -> list[Job]:
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -77,10 +77,10 @@
 
     def usable_machines(self, now: float) -> list[Machine]:
         """Machines that accept tasks now, without those that have not been accounted for since the takeover."""
-        unaccounted = self.cluster.unverified
+        unverified = self.cluster.unverified
         return [
             m for m in self.cluster.machines.values()
-            if m.name not in unaccounted and placement.accepts_tasks(m, now, self.report_max_age_s())
+            if m.name not in unverified and placement.accepts_tasks(m, now, self.report_max_age_s())
         ]  # fmt: skip
 
     def placement_order(self, now: float) -> list[Job]:
@@ -560,20 +560,22 @@
 
         Thousands of tasks run, so they are looked at only if an array waits, and kept only if they finish in time.
         """
-        waiting = [(d, self._patience_s(d.job, now)) for d in demands if d.job.spec.kind is Kind.ARRAY and d.count > 0]
+        waiting = [
+            (d, self._max_slot_wait_s(d.job, now)) for d in demands if d.job.spec.kind is Kind.ARRAY and d.count > 0
+        ]
         if not waiting:
             return
-        longest = max(patience_s for _, patience_s in waiting)
+        longest = max(max_wait_s for _, max_wait_s in waiting)
         slots = [
             supply.FinishingSlot(a.machine, a.job.spec, free_in_s)
             for m in self.usable_machines(now) for a in m.attempts.values()
             if a.job.spec.kind is Kind.ARRAY and a.wanted and (free_in_s := supply.remaining_s(a, now)) <= longest
         ]  # fmt: skip
         slots.sort(key=supply.BY_FREE_TIME)
-        for demand, patience_s in waiting:
-            supply.assign_finishing_slots(demand, slots, patience_s)
+        for demand, max_wait_s in waiting:
+            supply.assign_finishing_slots(demand, slots, max_wait_s)
 
-    def _patience_s(self, job: Job, now: float) -> float:
+    def _max_slot_wait_s(self, job: Job, now: float) -> float:
         """How long, in seconds, the job's tasks may wait for slots: at least as long as a new machine would take."""
         boot_s = min((kind.boot_s for kind in self.cluster.types.values()), default=0.0)
         return max(boot_s, supply.slack_s(job, self.cluster.params.objectives, now) - boot_s)
@@ -584,7 +586,7 @@
             return 1
         boot_s = max((kind.boot_s for kind in self.cluster.types.values()), default=0.0)
         return 1 + max(
-            0, int((self._patience_s(job, now) - boot_s) // (job.spec.estimate_s * c.ESTIMATE_SAFETY_FACTOR))
+            0, int((self._max_slot_wait_s(job, now) - boot_s) // (job.spec.estimate_s * c.ESTIMATE_SAFETY_FACTOR))
         )
 
     def observe_zone(self, name: str, observation: ZoneObservation, now: float) -> None:
--- a/pepperlatch/policy/reasons.py
+++ b/pepperlatch/policy/reasons.py
@@ -75,7 +75,7 @@
     (Why.NO_ROOM, Why.ROOM_SOON, Why.BOOTING, Why.ASKING_CLOUD, Why.NO_CAPACITY,
      Why.CUT_OFF, Why.CHEAP_ROOM, Why.NO_RENTING)
 )  # fmt: skip
-STANDING = SUPPLY - {Why.NO_ROOM}  # stays for MIN_REASON_SHOWN_S before another of them replaces it
+DEBOUNCED = SUPPLY - {Why.NO_ROOM}  # stays for MIN_REASON_SHOWN_S before another of them replaces it
 
 
 class Reason(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/pepperlatch/policy/supply.py
+++ b/pepperlatch/policy/supply.py
@@ -82,17 +82,17 @@
     return job.since + min((end for end in ends if end > waited + c.TASK_START_S), default=math.inf)
 
 
-def assign_finishing_slots(demand: Demand, slots: list[FinishingSlot], patience_s: float) -> None:
+def assign_finishing_slots(demand: Demand, slots: list[FinishingSlot], max_wait_s: float) -> None:
     """Reduce the demand by the tasks that can run in these slots, several one after the other where time allows.
 
-    `patience_s` is how long the tasks may wait. The slots taken become free later. `slots` are sorted by the time at
+    `max_wait_s` is how long the tasks may wait. The slots taken become free later. `slots` are sorted by the time at
     which they become free, before and after the call.
     """
     spec = demand.job.spec
     run_s = max(spec.estimate_s, 1.0)
     changed = False
     for slot in slots:
-        if demand.count <= 0 or slot.free_in_s > patience_s:
+        if demand.count <= 0 or slot.free_in_s > max_wait_s:
             break
         machine, leaving = slot.machine, slot.spec
         fits = (
@@ -102,7 +102,7 @@
         )
         if not fits or not allowed_on(spec, machine.type.name, machine.zone, machine.spot):
             continue
-        count = min(demand.count, 1 + int((patience_s - slot.free_in_s) // run_s))
+        count = min(demand.count, 1 + int((max_wait_s - slot.free_in_s) // run_s))
         demand.count -= count
         slot.free_in_s += count * run_s
         changed = True
--- a/tests/test_large_clusters.py
+++ b/tests/test_large_clusters.py
@@ -255,7 +255,7 @@
         places.sort(key=supply.BY_FREE_TIME)
         for need in reference:
             if need.job.spec.kind is wire.Kind.ARRAY and need.count > 0:
-                supply.assign_finishing_slots(need, places, planner._patience_s(need.job, 100.0))
+                supply.assign_finishing_slots(need, places, planner._max_slot_wait_s(need.job, 100.0))
         planner._assign_finishing_slots(needs, 100.0)
         assert [n.count for n in needs] == [n.count for n in reference], seed
 
