--- a/pepperlatch/policy/__init__.py
+++ b/pepperlatch/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: no clock, no socket; `now` is an argument."""
+"""Scheduling decisions. No module here does I/O or reads a clock; callers pass the time as `now`."""
--- a/pepperlatch/policy/boot_times.py
+++ b/pepperlatch/policy/boot_times.py
@@ -1,4 +1,4 @@
-"""Observed boot times of machines, so that during slow boots none is given up too soon. No I/O, no clock."""
+"""Observed boot times, so that no machine is given up too soon while boots are slow. No I/O, no clock."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
     slow_s: dict[str, float] = field(default_factory=dict)  # by type: their 90th percentile, if there are a few
 
     def came_up(self, kind: MachineType, seconds: float) -> None:
-        """Note that a machine of this type came up after so many seconds."""
+        """Note that a machine of this type came up `seconds` after its renting."""
         if seconds < c.MIN_BOOT_S:  # it was up before this leader knew of it
             return
         seen = self.seen.setdefault(kind.name, deque(maxlen=c.MAX_BOOTS_REMEMBERED))
@@ -27,12 +27,12 @@
             self.slow_s[kind.name] = sorted(seen)[int(c.SLOW_BOOT_QUANTILE * (len(seen) - 1))]
 
     def expected_s(self, kind: MachineType) -> float:
-        """Seconds after its renting for which a booting machine is counted on."""
+        """Seconds after its renting for which a booting machine is expected to come up."""
         slow_s = self.slow_s.get(kind.name, 0.0)
         return max(c.BOOT_EXPECTED_FACTOR * kind.boot_s, c.SLOW_BOOT_FACTOR * slow_s) + c.BOOT_MARGIN_S
 
     def give_up_after_s(self, kind: MachineType) -> float:
-        """Seconds after its renting from which on a booting machine is expected never to come up, and is returned."""
+        """Seconds after its renting from which on a booting machine is taken to have failed, and is returned."""
         slow_s = self.slow_s.get(kind.name, 0.0)
         return max(
             c.MIN_BOOT_TIMEOUT_S,
--- a/pepperlatch/policy/cancellations.py
+++ b/pepperlatch/policy/cancellations.py
@@ -22,7 +22,7 @@
 
     machine: str
     addr: str
-    ago_s: float  # seconds since the cancellation; no user was told of it earlier
+    ago_s: float  # seconds since the earliest time at which a user may have been told of the cancellation
 
 
 class Decision(Enum):
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderView:
-    """What the leader knows beside the machine itself; times in seconds of the node's steady clock."""
+    """What the leader knows besides the machine itself; times are in seconds of the node's steady clock."""
 
     started: float  # when it took over
     sure: bool  # its lease of the leader's key cannot have ended
@@ -53,9 +53,8 @@
     Leaves time for the case that the leader ends at that very moment and its successor's first request gets no answer.
     """
     successor_s = c.LEADER_LEASE_MS / 1000 + c.TAKEOVER_S
-    asking_s = (
-        c.MAX_UNANSWERED_PROBES * (c.PROBE_TIMEOUT_S + c.TICK_S) + c.PROBE_TIMEOUT_S
-    )  # directly, then through other controllers as well
+    # The machine is probed directly, then through other controllers as well.
+    asking_s = c.MAX_UNANSWERED_PROBES * (c.PROBE_TIMEOUT_S + c.TICK_S) + c.PROBE_TIMEOUT_S
     lost_request_s = c.CLOUD_REQUEST_TIMEOUT_S + c.CLOUD_RETRY_PAUSE_S
     takes_s = successor_s + _silence_s(workers) + asking_s + lost_request_s + c.RETURN_CONFIRM_S + c.TICK_S
     return max(0.0, workers.cancel_s - takes_s)
--- a/pepperlatch/policy/cancelled_tasks.py
+++ b/pepperlatch/policy/cancelled_tasks.py
@@ -1,5 +1,7 @@
-"""Tracks which machines may hold a task of a cancelled job, and the earliest time at which a user may have been told
-of the cancellation. No I/O, no clock. `policy/cancellations.py` decides when such a machine is returned.
+"""Tracks which machines may hold a task of a cancelled job, and since when.
+
+"Since when" is the earliest time at which a user may have been told of the cancellation. No I/O, no clock.
+`policy/cancellations.py` decides when such a machine is returned.
 """
 
 import logging
@@ -11,7 +13,8 @@
 from pepperlatch.protocol.wire import JobSpec
 
 log = logging.getLogger(__name__)
-CancelledSince = Callable[[str], float]  # by job id: no user was told of its cancellation before; infinite: it has none
+# By job id: the earliest time at which a user may have been told of its cancellation; infinite if it is not cancelled.
+CancelledSince = Callable[[str], float]
 
 
 @dataclass(slots=True)
@@ -59,7 +62,7 @@
         self.unverified[spec.id] = UnverifiedCancellation(spec, unseen, min(now, self._cancelled_since(spec.id)))
 
     def task_reported(self, job_id: str) -> None:
-        """A machine has reported a task of the job: one less is unseen."""
+        """Note that a machine has reported a task of the job, so that one task less is unseen."""
         cancelled = self.unverified.get(job_id)
         if cancelled is not None:
             cancelled.unseen = max(0, cancelled.unseen - 1)
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -29,9 +29,11 @@
 from pepperlatch.settings import Params
 
 log = logging.getLogger(__name__)
-Key = tuple[str, int]  # of an attempt: "JOB/TASK" and attempt number
+Key = tuple[str, int]  # identifies an attempt: "JOB/TASK" and the attempt number
 SILENT, SILENT_CANCELLED = "silent", "silent, perhaps with a cancelled task"
-PROCESS_AGE = ""  # key of the process's age in a stand-in's promise, beside the ages under machines' names; in s
+# Key of the process's age in seconds in the answer to a revocation of delegated lease renewal; the other keys are
+# machines' names.
+PROCESS_AGE = ""
 SpecOf = Callable[[str], JobSpec | None]  # finds the spec of a job by its id
 
 
@@ -42,21 +44,24 @@
 
 @dataclass(slots=True)
 class LeaseRenewalDelegate:
-    """What the leader knows of a follower that may stand in for it, that is, renew workers' leases in its place."""
+    """What the leader knows of a controller that may renew workers' leases on the leader's behalf.
 
-    answered_at: float = float("-inf")  # when the leader last answered its contact
-    revoked_until: float = float("-inf")  # it promised not to stand in before this time
-    process_began_by: float = float("inf")  # its process began no later; what an earlier process did is unknown
+    A controller that has lost contact with the leader does so (delegated lease renewal, `HeartbeatHandler`). Times are
+    of the leader's steady clock.
+    """
+
+    answered_at: float = float("-inf")  # when the leader last answered a contact of the controller
+    revoked_until: float = float("-inf")  # it has acknowledged that it renews no lease before then
+    process_began_by: float = float("inf")  # its process began no later; what an earlier process renewed is unknown
 
 
 class Cluster:
     """The state that one leader keeps during its term; created at takeover and discarded with the term.
 
     `node` is the leader's name and `token` its fencing token. `lease_extension_s`: seconds for which a controller may
-    renew leases
-    after its last proof of leadership, or after its last contact with the leader. `spec_of` finds the spec of a job
-    that has ended but whose tasks may still be reported. `cancelled_since` returns the earliest time at which a user
-    may have been told that a job is cancelled; infinite if it is not.
+    renew leases after its last proof of leadership, or after its last contact with the leader. `spec_of` finds the spec
+    of a job that has ended but whose tasks may still be reported. `cancelled_since` returns the earliest time at which
+    a user may have been told that a job is cancelled; infinite if it is not.
     """
 
     def __init__(
@@ -67,7 +72,7 @@
         self.token = token
         self.params = params
         self.lease_extension_s = lease_extension_s
-        # leases that an earlier leader renewed, and sessions that it commanded, have ended by then
+        # leases renewed by earlier leaders, and sessions commanded by them, have ended by then
         self.earlier_leaders_until = now + lease_extension_s + params.workers.lease_s * (1 + c.CLOCK_DRIFT)
         self._spec_of = spec_of
         self._cancelled_since = cancelled_since
@@ -75,21 +80,21 @@
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
         self.removed_machines: dict[str, None] = {}  # names that the cloud has confirmed to be gone
-        self.unknown_tasks: dict[str, dict[Key, TaskReport]] = {}  # by machine: reported, but not adopted, to be killed
+        self.unknown_tasks: dict[str, dict[Key, TaskReport]] = {}  # by machine: reported, not adopted, to be killed
         self.quota = Quota({team.name: team for team in params.teams})
         self.unverified: set[str] = set()  # machines that may still run tasks of an earlier term that nobody reported
         self.cancelled = CancelledTasks(lambda job_id: self._cancelled_since(job_id), params.workers.cancel_s)
-        self.machines_to_command: set[Machine] = set()  # may have orders to be sent by direct command
+        self.machines_to_command: set[Machine] = set()  # orders may be due to them by direct command
         self.unsaved_jobs: set[str] = set()  # have finished tasks that the state service does not hold yet
         self.to_record: set[Machine] = set()  # to be written to the state service, which makes them usable
         self.to_release: set[str] = set()  # to be returned to the cloud
-        self.release_requested: set[str] = set()  # the cloud was asked to take them; it may do that at any time
-        self.dirty = True  # something changed that the planner has not looked at
+        self.release_requested: set[str] = set()  # the cloud was asked to take them back; it may do so at any time
+        self.dirty = True  # something has changed that the planner has not considered yet
         self.higher_token = False  # a report carried a higher token: another leader was elected
         self._last_number = 0
         self.started = now  # when this leader took over
-        self.renewal_delegates: dict[str, LeaseRenewalDelegate] = {}  # by controller
-        self.peer_answered_at: dict[str, float] = {}  # by controller: when it last answered this leader
+        self.renewal_delegates: dict[str, LeaseRenewalDelegate] = {}  # by controller's name
+        self.peer_answered_at: dict[str, float] = {}  # by controller's name: when it last answered this leader
         self.delegations = Delegations()
         self.images = ImageMemory()
         self.boot_times = BootTimes()
@@ -98,7 +103,11 @@
     # --- jobs -------------------------------------------------------------------------------------
 
     def add_job(self, spec: JobSpec, version: int, since: float, done: set[int], over: bool = False) -> Job:
-        """Add a job. `version`: of its record; `done`: its finished tasks; `over`: it has ended, nothing is queued."""
+        """Add a job.
+
+        `version` is the version of its record, `since` when it was submitted or became ready, and `done` its finished
+        tasks. `over`: it has ended, so nothing is queued.
+        """
         job = Job(spec, version, since, version <= self.token, set(done), set(done), over=over)
         if not over:
             job.waiting = deque(task for task in range(spec.tasks) if task not in done)
@@ -110,7 +119,7 @@
         return job
 
     def end_job(self, job_id: str, now: float, done: bool = False) -> None:
-        """The job is done or, by default, cancelled: stop every task of it that still runs."""
+        """Stop every task of the job that still runs: it is done or, by default, cancelled."""
         job = self.jobs.get(job_id)
         if job is None:
             return
@@ -183,10 +192,10 @@
         return [m.addr for m in heapq.nlargest(c.MAX_WITNESSES, up, key=lambda m: (m.last_report_at, m.name))]
 
     def machines_with_cancelled_tasks(self, now: float) -> list[CancelledOn]:
-        """The machines that may hold a task of a cancelled job, the longest silent first; at most
-        MAX_CANCELLED_MACHINES_SENT.
+        """The machines that may hold a task of a cancelled job, the longest silent first.
 
-        Sent to the other controllers with each contact, so that they can act while nobody leads.
+        At most MAX_CANCELLED_MACHINES_SENT. They are sent to the other controllers with each contact, so that these can
+        act while no controller leads.
         """
         unverified_cancelled_since = self.unverified_cancelled_since(now)
         found = [(m, self.cancelled_since(m, unverified_cancelled_since)) for m in self.machines.values() if m.addr]
@@ -195,7 +204,7 @@
         return [CancelledOn(m.name, m.addr, now - since) for m, since in found[: c.MAX_CANCELLED_MACHINES_SENT]]
 
     def explain(self, job: Job, reason: Reason, now: float) -> None:
-        """Set the stated reason of the job's wait, and notify the listener if its kind changed."""
+        """Set the reason why the job waits, and notify the listener if its kind changed."""
         if job.explain(reason, now):
             self.listener.explained(job, now)
             if log.isEnabledFor(logging.DEBUG):
@@ -209,7 +218,7 @@
         return (self.token << c.ATTEMPT_NUMBER_BITS) + self._last_number
 
     def place(self, job: Job, task: int, machine: Machine, now: float, number: int | None = None) -> Attempt:
-        """Plan a launch of the task. It counts against the machine's room and the team's limit from here on.
+        """Plan a launch of the task, which counts against the machine's room and the team's limit from now on.
 
         The caller has removed the task from `job.waiting`. `number`: one number for all tasks of a gang's attempt.
         """
@@ -231,7 +240,7 @@
         self.machines_to_command.add(machine)
 
     def stop(self, attempt: Attempt, grace_s: float, why: str) -> None:
-        """Have the attempt killed, with `grace_s` seconds to save its work; a later call can only shorten that.
+        """Have the attempt killed, with `grace_s` seconds to save its work; a later call can only shorten these.
 
         It keeps its room until it is proven gone; one whose launch was never sent is removed at once.
         """
@@ -326,7 +335,7 @@
         if report.machine in self.removed_machines:
             return None
         if report.machine not in self.machines and report.tasks and report.token < self.token:
-            return None  # its record lasts from before its first launch until it is gone: this predates its return
+            return None  # a record lasts from before the first launch until the machine is gone: the report is older
         machine = self.machines.get(report.machine) or self._add_unlisted(report, now)
         if machine is None:
             return None
@@ -339,7 +348,7 @@
             self._check_answer_delivery(machine, report)
         if report.session > machine.session:
             self._lose_all(machine, now, "its worker began anew")
-            machine.began_by = now  # possibly nobody answered this session yet: its lease runs from its beginning
+            machine.began_by = now  # the session may not have been answered yet: its lease runs from its beginning
             if machine.session and not heartbeat:
                 machine.heartbeat_at = -1.0  # its lease ended and no heartbeat came since: it may reach no controller
         machine.session, machine.seq, machine.addr = report.session, report.seq, report.addr
@@ -352,7 +361,7 @@
         if report.notice_s is not None:
             self._set_reclaim_time(machine, now + report.notice_s)
         if machine.released_as_silent and machine.name not in self.release_requested:
-            log.info("machine %s reports again; its return for silence is called off", machine.name)
+            log.info("machine %s reports again; it was to be returned because it was silent, and is kept", machine.name)
             machine.status, machine.released_as_silent, machine.return_needs_lease = Status.UP, False, True
             self.to_release.discard(machine.name)
         self._verify(machine, report, now)
@@ -387,7 +396,8 @@
             machine.offered_launches = None
             if machine.lost_answers == c.MAX_LOST_LAUNCH_ANSWERS:
                 log.info(
-                    "machine %s reports but did not receive our last launches; it gets no new tasks until it does",
+                    "machine %s reports but did not receive this leader's last launches; it gets no new tasks until it "
+                    "does",
                     machine.name, extra={"machine": machine.name},
                 )  # fmt: skip
 
@@ -402,12 +412,13 @@
             self.release(machine, "its worker began anew under old numbers")
 
     def _add_unlisted(self, report: Report, now: float) -> Machine | None:
-        """Add a machine that is neither recorded nor listed; None if its type is unknown."""
+        """Add a machine that reports but is neither recorded nor listed; None if its type is unknown."""
         kind = self.types.get(report.type)
         if kind is None:
             return None
         log.info(
-            "machine %s (%s, zone %s) is not on record but reports; it joins once it shows our token or is listed",
+            "machine %s (%s, zone %s) reports but is not recorded; it joins once it reports this leader's token or the "
+            "cloud lists it",
             report.machine, report.type, report.zone,
         )  # fmt: skip
         machine = Machine(report.machine, kind, report.zone, report.spot, report.addr, Status.BOOTING, now)
@@ -440,7 +451,7 @@
                 self.listener.noted("takeover", took, now)
 
     def recorded(self, name: str, now: float) -> None:
-        """The state service holds the machine's record: it may be given tasks."""
+        """Note that the state service holds the machine's record, so that it may be given tasks."""
         machine = self.machines.get(name)
         if machine is not None and machine.status is Status.JOINING:
             machine.status = Status.UP
@@ -496,7 +507,10 @@
         self.images.used(machine.name, spec.image, spec.image_gb)
 
     def load_image_memory(self) -> None:
-        """Fill the machines' image lists from what an earlier leader told; a guess until tasks are seen running."""
+        """Fill the machines' image lists from what an earlier leader sent.
+
+        They are a guess until tasks are reported as running.
+        """
         for _, machine, image, gb in list(self.images.on(self.machines)):
             self.machines[machine].used_image(image, gb)
 
@@ -504,7 +518,7 @@
         """Handle an attempt that the newest report does not list.
 
         That proves a task gone which was reported before, and a launch lost that was sent in the answer to an earlier
-        heartbeat. A direct launch may still be in flight, for minutes if the network delays it: it stays UNCONFIRMED.
+        heartbeat. A direct launch may still be in flight, for minutes if the network delays it, and stays UNCONFIRMED.
         """
         if attempt.phase is Phase.CONFIRMED and key not in machine.in_flight:
             self._lose(attempt, now, "not on its machine any more")
@@ -568,7 +582,10 @@
             self._requeue(attempt, now)
 
     def _finished(self, job: Job, task: int, attempt: Attempt | None, now: float) -> None:
-        """The task is done, and with it all tasks of a gang; its machine gets credit for the success."""
+        """Count the task as done, and with it all tasks of a gang.
+
+        Its success clears the count of failures on its machine and adds to the samples of the machine's pace.
+        """
         if task >= job.spec.tasks or task in job.done or job.over:
             return
         job.done.update(range(job.spec.tasks) if job.spec.kind is Kind.GANG else [task])
@@ -616,7 +633,10 @@
             job.not_before = now + c.JOB_BACKOFF_S
 
     def machines_needing_forwarding(self, now: float) -> list[str]:
-        """Names of the machines that only other controllers reach: these are to forward their reports at once."""
+        """Names of the machines that only other controllers reach.
+
+        Sent to the other controllers, which then accept these machines' reports and forward them to this leader.
+        """
         return [m.name for m in self.machines.values() if now < m.forwarding_until]
 
     # --- machines that leave or whose lease ends --------------------------------------------------
@@ -630,7 +650,7 @@
             self._lose(attempt, now, why)
 
     def remove_machine(self, name: str, now: float) -> None:
-        """The cloud has confirmed that the machine is gone; its tasks are queued again."""
+        """Remove a machine that the cloud has confirmed to be gone, and queue its tasks again."""
         machine = self.machines.pop(name, None)
         self.delegations.forget(name)
         self.removed_machines[name] = None
@@ -658,9 +678,10 @@
         """Whether the machine's known session has surely ended, with every task in it and every launch sent into it.
 
         A session ends one lease after it began or was last answered, whichever is later. It may have been answered by
-        this leader, by a follower with a delegation, by a stand-in or, as long as the worker has not shown this
-        leader's token, by an earlier leader. Launches that this leader sent count from the session's beginning; those
-        of an earlier leader count from the end of that leader's time (`earlier_leaders_until`).
+        this leader, by a follower with a delegation, by a controller that renewed the lease on the leader's behalf or,
+        as long as the worker has not shown this leader's token, by an earlier leader. Launches that this leader sent
+        count from the session's beginning; those of an earlier leader count from the end of that leader's time
+        (`earlier_leaders_until`).
         """
         lease_s = self.params.workers.lease_s * (1 + c.CLOCK_DRIFT) + c.WORKER_LEASE_MARGIN_S
         last = max(machine.answered_at, self.delegations.answered_until(machine.name))
@@ -711,7 +732,7 @@
         return DelegationAnswer(max(0.0, until - now), self.delegations.number, revoked)
 
     def _heard_by_follower(self, machine: Machine, heard_s: float, now: float) -> None:
-        """A follower answered the machine's heartbeat `heard_s` seconds ago.
+        """Note that a follower answered the machine's heartbeat `heard_s` seconds ago.
 
         Until its next heartbeat is late the machine counts as reporting now; after that, from the follower's answer.
         """
@@ -725,25 +746,25 @@
         machine.heartbeat_at = min(machine.heartbeat_at, heard_at)
 
     def allow_delegated_renewal(self, peer: str, now: float) -> None:
-        """This leader answers a peer's contact.
+        """Note that this leader answers a peer's contact.
 
-        From now on the peer may stand in, until `lease_extension_s` s after it asked.
+        From now on the peer may renew leases on the leader's behalf, until `lease_extension_s` seconds after it asked.
         """
         self.renewal_delegates.setdefault(peer, LeaseRenewalDelegate()).answered_at = now
 
-    def on_renewal_revoked(self, peer: str, stood_in: dict[str, float], until: float, now: float) -> None:
-        """A peer promises not to stand in before `until`, and says which machines it answered as a stand-in.
+    def on_renewal_revoked(self, peer: str, renewed: dict[str, float], until: float, now: float) -> None:
+        """Note that a peer has acknowledged that it renews no lease on the leader's behalf before `until`.
 
-        `stood_in`: by machine, seconds since that answer. The peer remembers only what its present process did, whose
-        age in seconds is under PROCESS_AGE. Without an age (a peer of an earlier version) the promise has no effect,
-        and only the passing of time proves that the peer does not stand in.
+        `renewed`: by machine, seconds since the peer last renewed its lease. The peer remembers only what its present
+        process did, whose age in seconds is under PROCESS_AGE. Without an age (a peer of an earlier version) the
+        acknowledgement has no effect, and only the passing of time proves that the peer renews no lease.
         """
         self.peer_answered_at[peer] = now
-        other, began_s = self.renewal_delegates.get(peer), stood_in.get(PROCESS_AGE)
+        other, began_s = self.renewal_delegates.get(peer), renewed.get(PROCESS_AGE)
         if other is not None and began_s is not None:
             other.revoked_until = until
             other.process_began_by = now - began_s
-        for name, ago_s in stood_in.items():
+        for name, ago_s in renewed.items():
             machine = self.machines.get(name)
             if machine is not None:
                 machine.answered_at = max(machine.answered_at, now - max(0.0, ago_s))
@@ -757,7 +778,7 @@
                     "the lease of machine %s has ended; its tasks count as gone, those of unfinished jobs are queued",
                     machine.name, extra={"machine": machine.name},
                 )  # fmt: skip
-                machine.last_ended_session = machine.session  # what was sent into it can no longer be carried out
+                machine.last_ended_session = machine.session  # orders sent into it can no longer be carried out
                 self._lose_all(machine, now, "its machine's lease is over")
                 self._mark_verified(machine.name, now)
                 self.dirty = True
@@ -767,7 +788,7 @@
     def orders_for_heartbeat(self, machine: Machine, sure: bool, now: float) -> list[dict[str, Any]]:
         """Orders for the answer to the machine's newest report; its next report shows whether they arrived.
 
-        `sure`: this leader's lease cannot have ended. Only then finished tasks may be reaped.
+        `sure`: this leader's lease cannot have ended. Only then may finished tasks be reaped.
         """
         orders: list[dict[str, Any]] = []
         offered_launches = set()
--- a/pepperlatch/policy/delegation.py
+++ b/pepperlatch/policy/delegation.py
@@ -7,7 +7,7 @@
 floor: from then on it installs no grant with that number or a lower one. So the grants listed in a statement, however
 late it arrives, are all that the follower holds or will ever hold up to its floor.
 
-Sources: `docs/safety.md`, "Delegated heartbeats".
+See "Delegated heartbeats" in `docs/safety.md`.
 """
 
 import math
@@ -32,10 +32,11 @@
 
 
 class DelegationStatement(msgspec.Struct):
-    """What a follower holds. `floor`: grants up to this number are in `held` or will never be installed.
+    """What a follower holds.
 
-    `began_s`: age of the follower's process in seconds. `released`: machines that it answered and holds no grant of any
-    more, with the seconds since its last answer. `memory_s`: seconds for which it remembers these.
+    `floor`: grants up to this number are in `held` or will never be installed. `began_s`: age of the follower's process
+    in seconds. `released`: machines that it answered and holds no grant of any more, with the seconds since its last
+    answer. `memory_s`: seconds for which it remembers these.
     """
 
     floor: int = 0
@@ -46,9 +47,10 @@
 
 
 class DelegationAnswer(msgspec.Struct):
-    """The leader's answer. The delegation lasts `seconds` from the sending of the statement.
+    """The leader's answer to a statement.
 
-    `number` is the follower's new floor, `revoked` the machines whose grants it must drop.
+    The delegation lasts `seconds` from the sending of the statement. `number` is the follower's new floor,
+    `revoked` the machines whose grants it must drop.
     """
 
     seconds: float
@@ -57,7 +59,7 @@
 
 
 class LastAnswer(NamedTuple):
-    """The follower has not answered the machine later than `at`, and will not do so by the grant that it held."""
+    """States that a follower has not answered the machine after `at`, nor will by the grant that it held."""
 
     machine: str
     at: float
@@ -85,7 +87,7 @@
             self._granted[follower].discard(machine)
 
     def extend(self, follower: str, until: float) -> None:
-        """Move the end of the follower's delegation to `until`; called before the follower is told."""
+        """Move the end of the follower's delegation to `until`; called before the answer is sent to the follower."""
         self._until[follower] = max(until, self._until.get(follower, -math.inf))
 
     def answered_until(self, machine: str) -> float:
--- a/pepperlatch/policy/draining.py
+++ b/pepperlatch/policy/draining.py
@@ -1,6 +1,6 @@
 """Chooses an underused machine to drain: all of its tasks move to busy machines, or none does.
 
-Pure functions of what the leader knows; docs/design.md says what was kept of the paper that the design follows.
+Pure functions of the leader's state; `docs/design.md` says what was kept of the paper that the design follows.
 """
 
 from collections.abc import Callable, Iterable
@@ -31,7 +31,7 @@
 
 
 def reason_to_stay(attempt: Attempt, now: float, age_s: float, lost_s: float) -> str:
-    """Why a task may not be moved; empty if it may be.
+    """Why a task may not be moved, in words that follow the task's name; empty if it may be moved.
 
     It must run, for less than `age_s` seconds, lose at most `lost_s` seconds of work and belong to no gang. A replica
     moves only while another one of its service runs.
--- a/pepperlatch/policy/events.py
+++ b/pepperlatch/policy/events.py
@@ -1,8 +1,8 @@
-"""Events that a leader reports to a listener, in order and after the fact. By default none listens.
+"""Events that a leader reports to a listener, in order and after the fact. By default they are ignored.
 
 A listener is called by the command loop, the task that runs all changes of the leader's state, between two of its
-commands: it
-must be quick and must not change the objects that it is given. `now`: seconds of the node's steady clock.
+commands. It must be quick and must not change the objects that it is given. `now` is in seconds of the node's steady
+clock.
 """
 
 from typing import Protocol
@@ -29,10 +29,13 @@
         """The job's state changed; `what`: `waits` (for jobs that it needs), `ready`, or one of its final states."""
 
     def machine(self, machine: Machine, what: str, why: str, now: float) -> None:
-        """The machine's state changed; `what`: `hired`, `up`, `draining`, `quarantined`, `returned` or `gone`."""
+        """The machine's state changed, or it is underused but not drained.
+
+        `what`: `hired`, `up`, `draining`, `drain cancelled`, `quarantined` or `gone`. `why` states the reason, if any.
+        """
 
     def noted(self, what: str, text: str, now: float) -> None:
-        """An event of the whole service, such as the end of a takeover."""
+        """An event of the whole service: `takeover`, or `dark` for a zone whose state changed; `text` describes it."""
 
 
 class NullListener:
--- a/pepperlatch/policy/fleet.py
+++ b/pepperlatch/policy/fleet.py
@@ -41,12 +41,15 @@
     memory_gb: float
 
     def slots(self, spec: JobSpec) -> int:
-        """How many of the tasks fit."""
+        """How many tasks of the job fit."""
         pairs = ((spec.cpus, self.cpus), (spec.gpus, self.gpus), (spec.memory_gb, self.memory_gb))
         return max(0, min((int((free + EPS) // need) for need, free in pairs if need > 0), default=spec.tasks))
 
     def is_full(self, least: Size) -> bool:
-        """Whether not even a task of size `least` fits; a machine whose GPUs are taken may have CPUs left for ever."""
+        """Whether not even a task of size `least` fits.
+
+        A machine whose GPUs are taken may have CPUs left that no task ever uses.
+        """
         cpus, gpus, memory_gb = least
         return self.cpus < cpus - EPS or self.gpus < gpus - EPS or self.memory_gb < memory_gb - EPS
 
@@ -169,7 +172,7 @@
 
 
 def smallest_task(demands: Iterable[Demand]) -> Size:
-    """The least that any of the tasks needs, for each resource."""
+    """The smallest amount of each resource that any of the tasks needs."""
     specs = [demand.job.spec for demand in demands]
     return (
         min((s.cpus for s in specs), default=0.0), min((s.gpus for s in specs), default=0.0),
--- a/pepperlatch/policy/heartbeat_router.py
+++ b/pepperlatch/policy/heartbeat_router.py
@@ -1,8 +1,8 @@
 """Chooses the controller that takes a worker's reports: one in the worker's zone, if it is in contact with the leader.
 
 A zone that is partitioned from all others keeps its own links. Workers that report within their zone then keep their
-controller, need not look for another one while their leases run, and that controller may stand in for the leader (G in
-`docs/safety.md`). No I/O, no clock.
+controller and need not search for another one while their leases run, and that controller may renew their leases on the
+leader's behalf (G in `docs/safety.md`). No I/O, no clock.
 """
 
 from collections.abc import Iterable
@@ -26,9 +26,8 @@
 
     node: str  # this controller
     zones: dict[str, str]  # controller -> zone, this one included
-    heard_leader_at: dict[str, float] = field(
-        default_factory=dict
-    )  # controller -> when it last said it hears the leader
+    # Controller -> when it last stated that it is in contact with the leader.
+    heard_leader_at: dict[str, float] = field(default_factory=dict)
     remote_report_at: float = float("-inf")  # last report from a zone with its own controllers
     redirects: dict[str, _Redirect] = field(default_factory=dict)
 
@@ -52,15 +51,15 @@
     def controllers_to_query(self, now: float) -> list[str]:
         """The other controllers, to be asked whether they are in contact with the leader.
 
-        Empty unless a worker from a zone with controllers of its own reported here within
-        `PREFERRED_CONTROLLER_PROBE_PERIOD_S`.
+        Empty unless a worker from a zone with controllers of its own reported here within the last
+        `PREFERRED_CONTROLLER_PROBE_PERIOD_S` seconds.
         """
         if now - self.remote_report_at > c.PREFERRED_CONTROLLER_PROBE_PERIOD_S:
             return []
         return [node for node in self.zones if node != self.node]
 
     def record_health(self, node: str, hears_leader: bool, now: float) -> None:
-        """Take in another controller's answer whether it is in contact with the leader."""
+        """Record another controller's answer whether it is in contact with the leader."""
         if hears_leader:
             self.heard_leader_at[node] = now
         else:
@@ -69,8 +68,8 @@
     def may_redirect(self, machine: str, now: float) -> bool:
         """Whether the worker may be sent to another controller now; if so, that is recorded.
 
-        A worker that is back within `FORWARD_IF_BACK_WITHIN_S` had no success there, and is accepted here for
-        `FORWARD_PERIOD_S`.
+        A worker that is back within `FORWARD_IF_BACK_WITHIN_S` seconds had no success there, and is accepted here for
+        `FORWARD_PERIOD_S` seconds.
         """
         redirect = self.redirects.get(machine)
         if redirect is None or (now - redirect.at > c.FORWARD_IF_BACK_WITHIN_S and now > redirect.accept_until):
@@ -81,6 +80,6 @@
         return False
 
     def accept_locally(self, machines: Iterable[str], now: float) -> None:
-        """Accept these workers' reports here for `FORWARD_PERIOD_S`: the leader does not reach them."""
+        """Accept these workers' reports here for `FORWARD_PERIOD_S` seconds, since the leader does not reach them."""
         for name in machines:
             self.redirects[name] = _Redirect(now, now + c.FORWARD_PERIOD_S)
--- a/pepperlatch/policy/images.py
+++ b/pepperlatch/policy/images.py
@@ -1,7 +1,8 @@
-"""Remembers which machine holds which images. The leader sends it to the other controllers for the next leader.
+"""Remembers which machine holds which images.
 
-It is only a hint and sometimes wrong (after an unseen eviction, or if a machine was restarted empty), which costs a
-fetch of the image; nothing that safety depends on reads it. No I/O, no clock.
+The leader sends this to the other controllers, for the next leader. It is only a hint and sometimes wrong (after an
+unseen eviction, or if a machine was restarted empty), which costs a fetch of the image; nothing that safety depends on
+reads it. No I/O, no clock.
 """
 
 from collections.abc import Iterable, Iterator
@@ -16,7 +17,7 @@
 
 @dataclass(slots=True)
 class ImageMemory:
-    """The latest use of each image on each machine, the most recent last, with a number of this node's own."""
+    """The latest use of each image on each machine, the most recent last; uses are numbered by each node for itself."""
 
     _uses: dict[tuple[str, str], tuple[int, float]] = field(default_factory=dict)
     _number: int = 0
--- a/pepperlatch/policy/model.py
+++ b/pepperlatch/policy/model.py
@@ -37,8 +37,8 @@
     """One run of a task on one machine, from its planning until it is proven gone."""
 
     job: "Job"
-    task: int
-    number: int
+    task: int  # index within the job
+    number: int  # attempt number
     machine: "Machine"
     planned_at: float
     phase: Phase = Phase.PLANNED
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A rented machine as the leader knows it. "We" is this leader."""
+    """A rented machine as this leader knows it."""
 
     name: str
     type: MachineType
@@ -132,24 +132,26 @@
     replicas: int = 0  # attempts that are replicas of services
     replica_share: float = 0.0  # share of its CPUs or GPUs, whichever is larger, that replicas use
     ended: dict[tuple[str, int], TaskReport] = field(default_factory=dict)  # exited tasks that its worker still lists
-    in_flight: set[tuple[str, int]] = field(default_factory=set)  # launches that may still arrive: never reaped
+    in_flight: set[tuple[str, int]] = field(default_factory=set)  # launches that may still arrive; not reaped
     reap_not_before: dict[tuple[str, int], float] = field(default_factory=dict)  # a copy of the launch may come before
     images: dict[str, float] = field(default_factory=dict)  # fetched images and their GB, most recently used last
     session: int = 0  # newest known session of its worker; each lasts as long as its lease
     seq: int = -1  # number of the newest report in that session
     last_report_at: float = -1.0  # last report, whichever way it came
     newest_message_at: float = -1.0  # when the message with the highest session and number came
-    reached_at: float = -1.0  # last report that we could answer or had asked for: its worker is reachable
-    heartbeat_at: float = -1.0  # last report that waited for our answer; first the time of the takeover
+    reached_at: float = -1.0  # last report that this leader could answer or had asked for: it reaches the worker
+    heartbeat_at: float = -1.0  # last report that waited for this leader's answer; at first the time of the takeover
     cancelled_since: float = math.inf  # a job that may have a task here was cancelled no earlier; infinite: none was
     logged_decision: str = ""  # last logged decision on its return while it may hold a cancelled task
     return_needs_lease: bool = True  # of the leader's key; False: it may hold a cancelled task and time is short
     unexpected: bool = False  # known only by a report; neither recorded nor rented
-    fenced: bool = False  # a report has shown our token: it obeys and takes answers of no earlier leader any more
-    began_by: float = -1.0  # by then its session had begun and, if it is fenced, its worker had our token
-    answered_at: float = -1.0  # last answer to its reports: by us or, as far as we were told, by a stand-in or follower
+    fenced: bool = False  # it has shown this leader's token: its worker ignores earlier leaders' orders and answers
+    began_by: float = -1.0  # by then its session had begun and, if it is fenced, its worker had this leader's token
+    # Last answer to its reports: by this leader or, as far as this leader knows, by another controller on its behalf.
+    answered_at: float = -1.0
     last_ended_session: int = -1  # sessions up to this one have surely ended
-    offered_launches: tuple[int, frozenset[tuple[str, int]]] | None = None  # in our last answer, and its report's seq
+    # Number of the report last answered, and the launches in that answer; None if it had none.
+    offered_launches: tuple[int, frozenset[tuple[str, int]]] | None = None
     lost_answers: int = 0  # answers with launches in a row that did not arrive, as its next report showed
     hire: str | None = None
     up_at: float | None = None
@@ -163,10 +165,10 @@
     failed_at: float = -1.0  # last of these failures
     pace: list[float] = field(default_factory=list)  # run time over estimated run time of finished tasks, latest last
     probes: int = 0  # probes without an answer since its last report
-    isolated_probes: int = 0  # the same, when no other controller could tell either: we may be cut off ourselves
+    isolated_probes: int = 0  # the same, where no other controller knew either: this leader may be cut off itself
     probing: bool = False  # a probe is under way
-    fence_failed: bool = False  # an attempt to show it our token got no answer
-    forwarding_until: float = float("-inf")  # until then only other controllers are taken to reach it
+    fence_failed: bool = False  # an attempt to send it this leader's token got no answer
+    forwarding_until: float = float("-inf")  # until then this leader takes it to be reached only by other controllers
     sending: bool = False  # a direct command is under way
     send_after: float = 0.0  # no direct command before, after one that failed
     listed: bool = False  # the cloud has listed it
--- a/pepperlatch/policy/operator_settings.py
+++ b/pepperlatch/policy/operator_settings.py
@@ -58,7 +58,7 @@
 
 
 def validated(name: str, value: object) -> float:
-    """The value as a number; raises `InvalidSetting`."""
+    """The value as a number; raises `InvalidSetting` if it is none, out of bounds, or the setting is unknown."""
     setting = OPERATOR_SETTINGS.get(name)
     if setting is None:
         raise InvalidSetting(f"{name}: no such setting")
--- a/pepperlatch/policy/overdue_jobs.py
+++ b/pepperlatch/policy/overdue_jobs.py
@@ -15,14 +15,18 @@
 def is_overdue(job: Job, now: float) -> bool:
     """Whether the job has waited so long that it must start: `OVERDUE_GANG_S` for a gang, `OVERDUE_S` for others.
 
-    A job that failed on a machine never is: one submitted with a mistake would go before its team's others for ever.
+    Both are in seconds. A job that failed on a machine is never overdue: one submitted with a mistake would go before
+    its team's others for ever.
     """
     max_wait_s = c.OVERDUE_GANG_S if job.spec.kind is Kind.GANG else c.OVERDUE_S
     return not job.ran and not job.live and not job.failed_on and now - job.since > max_wait_s
 
 
 def first_overdue_by_team(order: list[Job], now: float) -> list[Job]:
-    """Each team's overdue job that has waited longest, oldest first; only one each, or old jobs would all go first."""
+    """Each team's overdue job that has waited longest, oldest first.
+
+    Only one of each team: otherwise all old jobs would go first.
+    """
     first: dict[str, Job] = {}
     for job in order:
         if is_overdue(job, now) and (job.spec.team not in first or job.since < first[job.spec.team].since):
@@ -33,7 +37,7 @@
 def reserves_room(job: Job, now: float) -> bool:
     """Whether other jobs must leave room for the overdue gang now.
 
-    They do for `GANG_RESERVATION_S`, then not for as long, and so on: enough room may never become free.
+    They must for `GANG_RESERVATION_S` seconds, then need not for as long, and so on: enough room may never become free.
     """
     if job.spec.kind is not Kind.GANG or not is_overdue(job, now):
         return False
@@ -69,7 +73,7 @@
 
 
 def _slots_beside_replicas(machine: Machine, spec: JobSpec) -> int:
-    """How many of the tasks fit on the machine beside its replicas alone."""
+    """How many of the job's tasks would fit on the machine if only replicas ran there."""
     replicas = [a.job.spec for a in machine.attempts.values() if a.job.spec.kind is Kind.SERVICE]
     rooms = [
         int(
--- a/pepperlatch/policy/placement.py
+++ b/pepperlatch/policy/placement.py
@@ -15,11 +15,11 @@
 def accepts_tasks(machine: Machine, now: float, fresh_s: float) -> bool:
     """Whether the machine takes new tasks: up, recorded, reached within `fresh_s` seconds, in a session that lasts.
 
-    It must not be draining, quarantined or about to be taken back. Three kinds of machines are left out although they
-    are heard of. One that only other controllers hear of can neither be answered nor commanded: a launch sent there is
-    held and comes late. One that reports but receives no answers loses its tasks when its lease ends, is empty again,
-    and would attract task after task (`unheard`). So does one that answers us but reaches no controller itself, since
-    only answers to its reports prolong its lease (`beat_at`).
+    It must not be draining, quarantined or about to be taken back. Three kinds of machines are left out although their
+    reports arrive. One that only other controllers reach can neither be answered nor commanded by this leader: a launch
+    sent there is held and comes late (`reached_at`). One that reports but receives no answers loses its tasks when its
+    lease ends, is empty again, and would attract task after task (`lost_answers`). So does one that answers this leader
+    but reaches no controller itself, since only answers to its reports renew its lease (`heartbeat_at`).
     """
     return (
         machine.status is Status.UP
@@ -120,7 +120,9 @@
 
 
 def is_slow(machine: Machine) -> bool:
-    """Whether the median of the last `SLOW_MACHINE_SAMPLES` tasks took over `SLOW_MACHINE_FACTOR` times their
+    """Whether tasks run slowly on the machine.
+
+    It is slow if the median of the last `SLOW_MACHINE_SAMPLES` tasks took over `SLOW_MACHINE_FACTOR` times its
     estimate.
     """
     recent = machine.pace[-c.SLOW_MACHINE_SAMPLES :]
@@ -131,7 +133,7 @@
     """Machines with room for a job's tasks, best first, kept in order while the tasks are placed.
 
     A machine's rank changes only by what is placed on it, so it is computed again when the machine comes first: a job
-    of many tasks looks at every machine once, not once for each task. A machine without room, in a zone that is full,
+    of many tasks examines every machine once, not once for each task. A machine without room, in a zone that is full,
     or refused by `free` stays so within one round and is dropped.
     """
 
@@ -194,7 +196,7 @@
 def with_room_for_smallest(machines: Iterable[Machine], specs: Iterable[JobSpec]) -> list[Machine]:
     """The machines whose free resources are each at least the least that any of the tasks needs.
 
-    In a full cluster few machines are left to look at.
+    In a full cluster few machines are left to examine.
     """
     specs = list(specs)
     cpus, gpus, gb = (
@@ -206,8 +208,8 @@
 def choose_zone(job: Job, machines: list[Machine], zones: Iterable[str]) -> str | None:
     """The zone for a job that must stay in one; None if no zone has room.
 
-    It is the zone with slots for most of the job's tasks, then with most of those where the image is, then with most
-    slots.
+    It is the zone with slots for the most tasks of the job; among equals the one with the most of these slots on
+    machines that hold the image, then the one with the most slots in all.
     """
     room, ready = Counter[str](), Counter[str]()
     for machine in machines:
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -30,9 +30,8 @@
 
 log = logging.getLogger(__name__)
 PREEMPTED_FOR = "stopped for "  # stated cause of a preemption; the id of the preempting job follows
-PREEMPTING_RANK = PRIORITY_RANK[
-    Priority.HIGH
-]  # jobs of this or a stronger rank may preempt beyond their team's guarantee
+# Jobs of this or a stronger rank may preempt beyond their team's guarantee.
+PREEMPTING_RANK = PRIORITY_RANK[Priority.HIGH]
 
 
 @dataclass(slots=True)
@@ -76,7 +75,7 @@
         return c.FRESH_REPORTS * self.cluster.params.workers.report_s
 
     def usable_machines(self, now: float) -> list[Machine]:
-        """Machines that accept tasks now, without those that have not been accounted for since the takeover."""
+        """Machines that accept tasks now, without those that have not been verified since the takeover."""
         unverified = self.cluster.unverified
         return [
             m for m in self.cluster.machines.values()
@@ -88,7 +87,8 @@
 
         A guarantee counts only against other teams. A team's own jobs of one priority that have not run yet are sorted
         among the positions that they hold together, those that are not late first. A job that has run keeps its
-        position, or preempted work could take the room back. Overdue jobs go before all others, one of each team.
+        position; otherwise preempted work could take the room back. Overdue jobs go before all others, one of each
+        team.
         """
         objectives = self.cluster.params.objectives
         jobs = [j for j in self.cluster.jobs.values() if not j.over]
@@ -224,9 +224,8 @@
     def _candidates(self, job: Job, machines: list[Machine], now: float) -> Candidates:
         """The machines for the job's tasks, best first.
 
-        For its first `REPLICA_PRICE_WAIT_S` a new service avoids expensive machines that its replicas alone would keep
-        in use, if
-        a cheap one can be rented.
+        For its first `REPLICA_PRICE_WAIT_S` seconds a new service avoids expensive machines that its replicas alone
+        would keep in use, if a cheap one can be rented.
         """
         spec, zones = job.spec, self.cluster.params.zones
         self.work_done += len(machines)
@@ -246,7 +245,7 @@
     def _room_filter(self, job: Job, now: float) -> Callable[[Machine], bool]:
         """A test of whether the job may use a machine: its room may be kept for replicas, or be too expensive for now.
 
-        A job that runs nothing and has waited for `MAX_RESERVATION_WAIT_S` may start one task, or a whole gang,
+        A job that runs nothing and has waited for `MAX_RESERVATION_WAIT_S` seconds may start one task, or a whole gang,
         anywhere.
         """
         spec, exempt, cheap_only = job.spec, self._exempt_from_reserve(job), self._waits_for_cheap_room(job, now)
@@ -274,7 +273,8 @@
     def _waits_for_cheap_room(self, job: Job, now: float) -> bool:
         """Whether the job's tasks wait for spot machines or for ordinary ones that replicas keep anyway.
 
-        Tasks beyond a guarantee that have much time left do, so that the other ordinary machines become empty.
+        Tasks of arrays beyond a guarantee do if they have much time left, so that the other ordinary machines become
+        empty.
         """
         spec = job.spec
         if (
@@ -355,17 +355,17 @@
     # --- preempting -------------------------------------------------------------------------------
 
     def preempt(self, now: float) -> None:
-        """Make room for jobs that may preempt: stop the tasks that lose least work, until `MAX_PREEMPTIONS_PER_ROUND`
-        are stopped.
+        """Make room for jobs that may preempt, by stopping the tasks that lose least work.
 
-        Jobs with unplaced tasks may preempt within their team's guarantee, or if their priority is high or stronger.
+        At most `MAX_PREEMPTIONS_PER_ROUND` tasks are stopped in a round. Jobs with unplaced tasks may preempt within
+        their team's guarantee, or if their priority is high or stronger.
         """
         left = c.MAX_PREEMPTIONS_PER_ROUND
         inside = self.within_guarantee
         machines = self.usable_machines(now) if self.demands else []
         running = (j for j in self.cluster.jobs.values() if j.live and j.spec.kind is Kind.ARRAY)
         last = max(map(self._placement_key, running), default=(False, 0))
-        under_way: bool | None = None  # looked up only if some task may be stopped
+        under_way: bool | None = None  # determined only if some task may be stopped
         for demand in self.demands:
             job = demand.job
             if left <= 0:
@@ -396,7 +396,7 @@
         return [victims] if len(victims) <= left else []
 
     def _preemption_under_way(self) -> bool:
-        """Whether a preempted task has not left yet; the room of cancelled and drained ones is meant for no job."""
+        """Whether a preempted task is not gone yet; the room of cancelled and drained ones is meant for no job."""
         return any(
             a.stop_reason.startswith(PREEMPTED_FOR) for m in self.cluster.machines.values() for a in m.attempts.values()
         )
@@ -558,7 +558,7 @@
     def _assign_finishing_slots(self, demands: list[Demand], now: float) -> None:
         """Reduce the demands by the slots that running tasks will free soon enough.
 
-        Thousands of tasks run, so they are looked at only if an array waits, and kept only if they finish in time.
+        Thousands of tasks run, so they are examined only if an array waits, and kept only if they finish in time.
         """
         waiting = [
             (d, self._max_slot_wait_s(d.job, now)) for d in demands if d.job.spec.kind is Kind.ARRAY and d.count > 0
@@ -590,7 +590,7 @@
         )
 
     def observe_zone(self, name: str, observation: ZoneObservation, now: float) -> None:
-        """Take in an observation of a zone; nothing is rented where a machine would cost and could not report."""
+        """Apply an observation of a zone; nothing is rented where a machine would cost money and could not report."""
         changed = self.zones.observe(name, observation, now)
         self.unreachable_zones = self.zones.unreachable(now)
         if changed is not None:
@@ -599,13 +599,13 @@
             self.cluster.listener.noted("dark", said, now)
 
     def offer_refused(self, offer: Offer, now: float) -> None:
-        """The cloud has no capacity: the offer is blocked for a pause that doubles with each refusal, up to a limit."""
+        """Block an offer that the cloud has no capacity for; the pause doubles with each refusal, up to a limit."""
         pause = min(c.MAX_NO_CAPACITY_PAUSE_S, max(c.NO_CAPACITY_PAUSE_S, self.refusal_pause_s.get(offer, 0.0) * 2))
         self.refusal_pause_s[offer] = pause
         self.blocked_until[offer] = now + pause
 
     def offer_granted(self, offer: Offer) -> None:
-        """The cloud has capacity, or will have it because a machine of this offer is returned: unblock the offer."""
+        """Unblock an offer: the cloud has capacity, or will have it because a machine of this offer is returned."""
         self.refusal_pause_s.pop(offer, None)
         self.blocked_until.pop(offer, None)
 
@@ -628,7 +628,10 @@
         return returned
 
     def _may_return(self, machine: Machine, now: float) -> bool:
-        """Whether the machine by itself may go: it is up and idle for long, draining or unusable, in no zone kept."""
+        """Whether the machine by itself may be returned.
+
+        It is up and has been idle for long, drains or gets no new tasks, and its zone's machines are not kept.
+        """
         if machine.status is not Status.UP or machine.idle_since is None:
             return False
         if not (_takes_no_tasks(machine) or machine.draining is not None or self._idle_long(machine, now)):
@@ -636,7 +639,7 @@
         return not self.zones.keeps_machines(machine.zone, now)
 
     def _idle_long(self, machine: Machine, now: float) -> bool:
-        """Whether it has been idle for `idle_s` and its least charge is used up.
+        """Whether it has been idle for `idle_s` seconds and its minimum charge is used up.
 
         A spot machine is kept longer by as much as it is cheaper: for the same money it may save a boot.
         """
@@ -647,7 +650,7 @@
     # --- draining ---------------------------------------------------------------------------------
 
     def start_drain(self, now: float) -> None:
-        """Begin to drain at most one underused machine, every `drain_every_s`: its tasks are stopped and move."""
+        """Begin to drain at most one underused machine every `drain_every_s` seconds; its tasks stop and move."""
         if now - self.last_drain_at < self.settings["drain_every_s"]:
             return
         self.last_drain_at = now
@@ -673,7 +676,7 @@
             self.cluster.stop(attempt, attempt.job.spec.save_s, "its machine is drained")
 
     def _report_drain_cancelled(self, machines: list[Machine], now: float) -> None:
-        """Count the round, and report why the least used machine stays, unless that was reported last."""
+        """Count the round, and report why the least used machine is not drained, unless that was reported last."""
         settings = self.settings
         low = draining.underused(machines, settings["drain_threshold"])
         self.drains_cancelled += bool(low)
@@ -704,7 +707,7 @@
                     self.cluster.stop(attempt, attempt.job.spec.save_s, "the cloud takes its machine")
 
     def _finishes_by(self, attempt: Attempt, at: float, now: float) -> bool:
-        """Whether the task will end before then by its estimate; False without an estimate."""
+        """Whether the task will end by the time `at`, as its estimate says; False without an estimate."""
         if attempt.job.spec.estimate_s <= 0:
             return False
         began = attempt.running_at if attempt.running_at is not None else now
@@ -712,7 +715,7 @@
 
 
 def _remaining_demand(demand: Demand | None) -> Demand | None:
-    """What is left of a demand of an earlier round; tasks may have been placed or have ended since."""
+    """The rest of a demand of an earlier round; tasks may have been placed or have ended since."""
     if demand is None or demand.job.over or not demand.job.waiting:
         return None
     return replace(demand, count=min(demand.count, len(demand.job.waiting)))
--- a/pepperlatch/policy/prerequisites.py
+++ b/pepperlatch/policy/prerequisites.py
@@ -27,10 +27,10 @@
 
 @dataclass(slots=True)
 class _UnfinishedJob:
-    """What is known of an unfinished job by itself."""
+    """What is known of an unfinished job, without its dependents."""
 
     own: Urgency  # without what it inherits
-    run_s: float  # estimated run time
+    run_s: float  # estimated run time in seconds
 
     def required_of_needed(self, urgency: Urgency) -> Urgency:
         """The urgency that a job needed by this one must have for this one, with the given urgency, to be in time."""
@@ -40,18 +40,16 @@
 
 @dataclass(slots=True)
 class Prerequisites:
-    """The graph, updated with every change of a job's record, so that a poll derives nothing anew."""
+    """The graph, updated with every change of a job's record, so that a user's poll recomputes nothing."""
 
     needs: dict[str, tuple[str, ...]] = field(default_factory=dict)  # the jobs that a job needs, if any
     dependents: dict[str, list[str]] = field(default_factory=dict)  # the jobs that need a job
-    cancelled_through: dict[str, str] = field(
-        default_factory=dict
-    )  # cancelled job -> the job whose record says cancelled
+    # Cancelled job -> the job whose record says cancelled.
+    cancelled_through: dict[str, str] = field(default_factory=dict)
     done_at: dict[str, float] = field(default_factory=dict)  # finished job -> time of day; 0 if it was not recorded
     _unfinished: dict[str, _UnfinishedJob] = field(default_factory=dict)
-    _urgency: dict[str, Urgency] = field(
-        default_factory=dict
-    )  # a cache; with a job it also holds all of its unfinished dependents
+    # A cache: if it holds a job, it also holds all of the job's unfinished dependents.
+    _urgency: dict[str, Urgency] = field(default_factory=dict)
 
     def unfinished(self) -> Iterable[str]:
         """Jobs that are neither done nor cancelled and whose descriptions have been read."""
@@ -77,7 +75,7 @@
         return self.cancel(job_id, over) if over is not None else set()
 
     def finish(self, job_id: str, at: float) -> set[str]:
-        """The job's record says done since `at`, a time of day; returns the jobs that may be ready now."""
+        """Note that the job's record says done since `at`, a time of day; returns the jobs that may be ready now."""
         self.done_at[job_id] = at
         self._drop(job_id)
         return set(self.dependents.get(job_id, ()))
@@ -113,8 +111,8 @@
     def ready_at(self, job_id: str, submitted: float) -> float:
         """Time of day at which the last job that it needs was done; its submission if it needs none.
 
-        The submission also stands for a time that was not recorded, since an earlier version wrote the record: it is
-        never later.
+        If an earlier version wrote the record of a needed job, the time is missing; the submission, which is never
+        later, is used instead.
         """
         return max([submitted, *(self.done_at.get(name, 0.0) for name in self.needs.get(job_id, ()))])
 
--- a/pepperlatch/policy/quota.py
+++ b/pepperlatch/policy/quota.py
@@ -1,7 +1,7 @@
 """Teams' usage, limits and guarantees of CPUs and GPUs.
 
-A limit of 0 means no limit (DEPLOY): on a platform with GPUs, teams get their share in GPUs alone, although their tasks
-use CPUs as well. A guarantee counts only the resources that it is given in.
+A limit of 0 means no limit: on a platform with GPUs, teams get their share in GPUs alone, although their tasks use CPUs
+as well. A guarantee counts only the resources that it is given in.
 """
 
 from collections.abc import Iterable
@@ -21,7 +21,7 @@
     gpus: float = 0.0
 
     def add(self, spec: JobSpec, tasks: int) -> None:
-        """Add so many tasks of the job; subtract them if negative."""
+        """Add this number of tasks of the job; a negative number subtracts."""
         self.cpus += spec.cpus * tasks
         self.gpus += spec.gpus * tasks
 
@@ -32,7 +32,7 @@
 
     teams: dict[str, Team]
     used: dict[str, Usage] = field(default_factory=dict)
-    unverified: dict[str, Usage] = field(default_factory=dict)  # what may run unreported, see Cluster
+    unverified: dict[str, Usage] = field(default_factory=dict)  # usage by tasks that may run unreported
 
     def of(self, team: str) -> Usage:
         """The team's usage by known tasks; changes to it count."""
@@ -58,7 +58,7 @@
         return max(0, min(rooms, default=spec.tasks))
 
     def shown(self, name: str) -> dict[str, object]:
-        """A team's usage beside its guarantee and its limit, as the operators' view shows it."""
+        """A team's usage, guarantee and limit, as the operators' view shows them."""
         team, used = self.teams[name], self.of(name)
         return {
             "name": name,
--- a/pepperlatch/policy/reasons.py
+++ b/pepperlatch/policy/reasons.py
@@ -70,12 +70,12 @@
         return ""
 
 
-# What a job that no machine has room for waits for; renting sets one of these after each planning round.
+# The reasons of a job that no machine has room for; renting sets one of these after each planning round.
 SUPPLY = frozenset(
     (Why.NO_ROOM, Why.ROOM_SOON, Why.BOOTING, Why.ASKING_CLOUD, Why.NO_CAPACITY,
      Why.CUT_OFF, Why.CHEAP_ROOM, Why.NO_RENTING)
 )  # fmt: skip
-DEBOUNCED = SUPPLY - {Why.NO_ROOM}  # stays for MIN_REASON_SHOWN_S before another of them replaces it
+DEBOUNCED = SUPPLY - {Why.NO_ROOM}  # each stays for MIN_REASON_SHOWN_S seconds before another replaces it
 
 
 class Reason(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/pepperlatch/policy/shortage.py
+++ b/pepperlatch/policy/shortage.py
@@ -15,14 +15,14 @@
 
 @dataclass(slots=True)
 class ShortageExplainer:
-    """What one round of renting knows; reasons are cached, since many jobs need the same."""
+    """States the reasons of one round of renting; they are cached, since many jobs need the same."""
 
     types: dict[str, MachineType]
     blocked_until: dict[Offer, float]  # when a refused offer may be requested again
     requested: set[Offer]  # offers in rent requests without an answer yet
     unreachable_zones: Iterable[str]
     booting: list[Bin]  # machines that are booting or requested
-    first_boot_at: float | None  # when the first of them will be up, about
+    first_boot_at: float | None  # about when the first of them will be up; None if none boots
     now: float
     _reasons: dict[Shape, Reason] = field(default_factory=dict)
     _sizes: dict[Shape, str] = field(default_factory=dict)
@@ -65,7 +65,7 @@
         return cached
 
     def _booting_reason(self, spec: JobSpec, tasks: int) -> Reason:
-        """The tasks wait for booting machines; states how many of them a task fits."""
+        """The reason of tasks that wait for booting machines, with the number of these that a task fits on."""
         if self._booting_counts is None:
             self._booting_counts = Counter(room.offer for room in self.booting)
         fitting = sum(
@@ -90,7 +90,7 @@
             return Reason(Why.CHEAP_ROOM, tasks=tasks, each=size)
         if any(offer in self.requested for offer in open_):
             return Reason(Why.ASKING_CLOUD, tasks=tasks, each=size)
-        if open_:  # more machines are needed than are requested at once
+        if open_:  # more machines are needed than one round requests
             return Reason(Why.NO_ROOM, tasks=tasks, each=size)
         until = min((self.blocked_until[offer] for offer in reachable), default=None)
         where = f"{_list(offer.type for offer in reachable)} in {_list(offer.zone for offer in reachable)}"
--- a/pepperlatch/policy/supply.py
+++ b/pepperlatch/policy/supply.py
@@ -1,4 +1,4 @@
-"""Time that jobs may wait, room that running tasks will free, and the room kept free for replicas. No I/O, no clock."""
+"""How long jobs may wait, room that running tasks will free, and room kept free for replicas. No I/O, no clock."""
 
 import math
 import statistics
@@ -28,7 +28,7 @@
 
 
 def remaining_s(attempt: Attempt, now: float) -> float:
-    """Seconds that the task still needs by its estimate; a late one is given a share of its estimate."""
+    """Seconds that the task still needs by its estimate; for a late one a share of its estimate."""
     ran = now - attempt.running_at if attempt.running_at is not None else 0.0
     return max(attempt.job.spec.estimate_s - ran, c.LATE_TASK_SHARE * attempt.job.spec.estimate_s)
 
@@ -64,9 +64,9 @@
     """When the job's tasks must start to meet its next deadline or objective; infinite if none can be met any more.
 
     A job that is late yields to those that are not: when more jobs arrive than can be served in time, strict order of
-    arrival would make all of them late. A job that waited `MISSED_OBJECTIVE_FACTOR` its longest objective goes first
-    again.
-    `inside`: it is within its team's guarantee. The result is a time of the leader's steady clock.
+    arrival would make all of them late. A job that has waited longer than `MISSED_OBJECTIVE_FACTOR` times its longest
+    objective goes first again. `inside`: it is within its team's guarantee. The result is a time of the leader's steady
+    clock.
     """
     spec, waited = job.spec, now - job.since
     ends = [job.due_at - job.since - spec.estimate_s] if job.due_at is not None else []
@@ -115,7 +115,7 @@
     """Room for replicas on ordinary machines, which other tasks may not take. Counted in slots of the largest replica.
 
     As many slots are kept on the machines that hold a service's image as in all, if fetching that image takes longer
-    than a replica may take to start. The planner counts the reserve anew in each round.
+    than a replica may take to start. The planner recounts the reserve in each round.
     """
 
     spec: JobSpec | None = None  # the largest replica of all services, as a job of its own
@@ -133,7 +133,7 @@
         jobs: float,
         start_s: Callable[[JobSpec], float] = lambda s: 0.0,
     ) -> None:
-        """Count the reserve anew for one round.
+        """Recount the reserve for one round.
 
         `jobs` is for how many services of the largest size room is kept (`spare_jobs`). `start_s` gives the seconds
         within which a replica should start: an image that is fetched sooner needs no room where it is.
--- a/pepperlatch/policy/zones.py
+++ b/pepperlatch/policy/zones.py
@@ -12,7 +12,7 @@
 
 
 class ZoneState(Enum):
-    """The values appear in log lines and events."""
+    """A zone's state; the values appear in log lines and events."""
 
     REACHABLE = "whole"
     DOUBTFUL = "doubtful"  # most machines are silent, but a controller there answers
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneObservation:
-    """What the leader sees of a zone at one time."""
+    """What the leader observes of a zone at one time."""
 
     up: int  # machines that are up by the leader's records, silent ones included
-    silent: int  # those of them not heard of for long
+    silent: int  # those of them that have not reported for long
     controller_answers: bool | None  # whether a controller of the zone answers, this one included; None if it has none
 
     def mostly_silent(self) -> bool:
-        """Whether so many machines are silent as do not die at once by themselves; False for a zone with few."""
+        """Whether more machines are silent than independent failures explain; False for a zone with few machines."""
         share = c.CUT_SILENT_SHARE_WITHOUT_CONTROLLER if self.controller_answers is None else c.CUT_SILENT_SHARE
         return self.up >= c.MIN_MACHINES and self.silent >= share * self.up
 
@@ -55,7 +55,7 @@
         if next_state is self.state:
             return False
         if next_state is ZoneState.PARTITIONED and now - self.partitioned_at > c.CUT_KEEP_S:
-            self.partitioned_at = now  # a zone that flaps has one partition
+            self.partitioned_at = now  # partitions that follow each other closely count as one
         self.state, self.since = next_state, now
         return True
 
@@ -97,9 +97,9 @@
         return zone is not None and zone.state is ZoneState.PARTITIONED
 
     def unreachable(self, now: float) -> set[str]:
-        """Zones where nothing is rented, since a machine there would cost and not report.
+        """Zones where nothing is rented, since a machine there would cost money and not report.
 
-        A doubtful zone is one after `DOUBTFUL_STOP_RENTING_S`.
+        A doubtful zone counts as unreachable after `DOUBTFUL_STOP_RENTING_S` seconds.
         """
         return {
             name for name, zone in self.by_name.items()
@@ -110,13 +110,13 @@
     def keeps_machines(self, name: str, now: float) -> bool:
         """Whether the zone's machines are kept although they are silent and idle.
 
-        Most partitions end before replacements would be up. Kept for `CUT_KEEP_S` of a partition, `RECOVERY_KEEP_S`
-        after it.
+        Most partitions end before replacements would be up. Machines are kept for the first `CUT_KEEP_S` seconds of a
+        partition, and for `RECOVERY_KEEP_S` seconds after it.
         """
         zone = self.by_name.get(name)
         if zone is None or zone.state not in (ZoneState.PARTITIONED, ZoneState.RECOVERING):
             return False
         if zone.state is ZoneState.RECOVERING:
-            # A machine that died meanwhile must not hold up what waits for all machines to be accounted for.
+            # A machine that died meanwhile must not delay what waits until all machines are verified.
             return now - zone.since < c.RECOVERY_KEEP_S
         return now - zone.partitioned_at < c.CUT_KEEP_S
