--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -117,7 +117,7 @@
     fitting = [t for t in types if fits_type(spec, t) and (spec.types is None or t.name in spec.types)]
     if not fitting:
         allowed = "any" if spec.types is None else ", ".join(spec.types[: c.MAX_NAMES_SHOWN])
-        raise Unsatisfiable(f"a task of {reasons.each(spec)} fits no allowed machine type ({allowed})")
+        raise Unsatisfiable(f"a task of {reasons.task_size_text(spec)} fits no allowed machine type ({allowed})")
     if spec.zone is not None and not any(spec.zone in t.zones for t in fitting):
         raise Unsatisfiable(f"no machine type that a task fits exists in zone {spec.zone[: c.MAX_NAME_CHARS_SHOWN]}")
     if spec.spread and spec.tasks > 1 and spec.kind is not Kind.ARRAY:  # they run at once, at most half in one zone
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -347,7 +347,7 @@
             self.cluster.explain(job, self._team_limit(job.spec), now)
             return
         if job.reason.kind not in reasons.SUPPLY:
-            self.cluster.explain(job, Reason(Why.NO_ROOM, tasks=count, each=reasons.each(job.spec)), now)
+            self.cluster.explain(job, Reason(Why.NO_ROOM, tasks=count, each=reasons.task_size_text(job.spec)), now)
         self.demands.append(
             Demand(job, count, dict(Counter(a.machine.zone for a in job.live.values())), free_together=free)
         )
@@ -531,7 +531,9 @@
         """Called instead of `offers_to_rent` while nothing may be rented: states that as the reason of all demands."""
         for demand in self.demands:
             spec = demand.job.spec
-            self.cluster.explain(demand.job, Reason(Why.NO_RENTING, tasks=demand.count, each=reasons.each(spec)), now)
+            self.cluster.explain(
+                demand.job, Reason(Why.NO_RENTING, tasks=demand.count, each=reasons.task_size_text(spec)), now
+            )
 
     def _first_boot_at(self, now: float) -> float | None:
         """When, about, the first of the booting machines will be up; None if none boots."""
--- a/pepperlatch/policy/reasons.py
+++ b/pepperlatch/policy/reasons.py
@@ -114,7 +114,7 @@
     return counted(r.tasks, "task") + (f" of {r.each}" if r.each else "")
 
 
-def named(job_ids: Sequence[str]) -> str:
+def job_list_text(job_ids: Sequence[str]) -> str:
     """A list of job ids in words; of long lists only the first ones."""
     more = len(job_ids) - c.MAX_NAMES_SHOWN
     return ", ".join(job_ids[: c.MAX_NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
@@ -134,7 +134,7 @@
 
 _TEXTS: dict[Why, Callable[[Reason], str]] = {
     Why.PLACING: lambda r: "waiting to be placed",
-    Why.NEEDS: lambda r: "waits for " + named(r.names),
+    Why.NEEDS: lambda r: "waits for " + job_list_text(r.names),
     Why.NEED_CANCELLED: lambda r: f"{r.names[0]}, which it needs, was cancelled",
     Why.REBUILDING: lambda r: (
         f"controllers are rebuilding their picture: {r.machines} of {counted(r.among, 'machine')} not accounted for"
@@ -162,7 +162,7 @@
 RUNNING = Reason(Why.RUNNING)
 
 
-def each(spec: JobSpec) -> str:
+def task_size_text(spec: JobSpec) -> str:
     """What a task of the job takes, in words."""
     gpus = f", {spec.gpus:g} GPUs" if spec.gpus else ""
     return f"{spec.cpus:g} CPUs{gpus}, {spec.memory_gb:g} GB"
--- a/pepperlatch/policy/shortage.py
+++ b/pepperlatch/policy/shortage.py
@@ -49,7 +49,7 @@
         key = (spec.cpus, spec.gpus, spec.memory_gb)
         cached = self._sizes.get(key)
         if cached is None:
-            cached = self._sizes[key] = reasons.each(spec)
+            cached = self._sizes[key] = reasons.task_size_text(spec)
         return cached
 
     def _cached_reason(self, kind: Why, demand: Demand, tasks: int) -> Reason:
