--- a/tests/test_large_clusters.py
+++ b/tests/test_large_clusters.py
@@ -255,7 +255,7 @@
         places.sort(key=supply.BY_FREE_TIME)
         for need in reference:
             if need.job.spec.kind is wire.Kind.ARRAY and need.count > 0:
-                supply.assign_finishing_slots(need, places, planner._patience_s(need.job, 100.0))
+                supply.assign_finishing_slots(need, places, planner._max_slot_wait_s(need.job, 100.0))
         planner._assign_finishing_slots(needs, 100.0)
         assert [n.count for n in needs] == [n.count for n in reference], seed
 
@@ -341,7 +341,7 @@
         await world.until(lambda: next_leader in world.nodes and world.nodes[next_leader].leader is not None, 6)
         leader = world.nodes[next_leader].leader
         await world.until(lambda: leader is not None and leader.ready and not leader.cluster.unverified, 2)
-        assert leader is not None and far in leader.cluster.machines_to_relay(trio.current_time())
+        assert leader is not None and far in leader.cluster.machines_needing_forwarding(trio.current_time())
 
     run_scenario(scenario)
 
