--- a/pepperlatch/scale/addresses.py
+++ b/pepperlatch/scale/addresses.py
@@ -58,7 +58,8 @@
 def find_free_ports() -> Addresses:
     """The first pair of ports whose first one is free now. Raises NoPort.
 
-    Nothing reserves the ports until the processes of the run listen on them.
+    Nothing reserves the ports until the processes of the run listen on them, so two runs that start together choose the
+    same ports. One or both of them then fail.
     """
     for port in range(c.FIRST_PORT, c.LAST_PORT, c.PORT_STEP):
         with socket.socket() as probe:
--- a/tests/scale/test_runs.py
+++ b/tests/scale/test_runs.py
@@ -9,8 +9,9 @@
 import pytest
 
 from pepperlatch.command.cli import main
+from pepperlatch.constants import scale as c
 from pepperlatch.scale import resource_limits, results, scenario
-from pepperlatch.scale.addresses import Addresses
+from pepperlatch.scale.addresses import Addresses, find_free_ports
 from pepperlatch.scale.cloud import Fleet
 from pepperlatch.scale.controller_settings import controller_zones, settings_text
 from pepperlatch.settings import parse
@@ -106,6 +107,20 @@
     assert not _processes_of(kept)
 
 
+def test_two_runs_that_start_together_choose_different_ports(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against ports that are tested but not reserved.
+
+    Two runs that start together both find the same ports free, because neither listens on them yet. One or both then
+    end with code 2 or never become healthy.
+    """
+    # Outside the ports that runs take, so that a run beside this test changes nothing.
+    monkeypatch.setattr(c, "FIRST_PORT", c.LAST_PORT + 100)
+    monkeypatch.setattr(c, "LAST_PORT", c.LAST_PORT + 120)
+    first = find_free_ports()
+    second = find_free_ports()
+    assert first.port != second.port
+
+
 def _processes_of(folder: Path) -> list[str]:
     """Command lines of running processes that contain the folder of a run."""
     found = []
