--- a/pepperlatch/console/accounting.py
+++ b/pepperlatch/console/accounting.py
@@ -11,7 +11,7 @@
 from pepperlatch.protocol.wire import Kind, TaskState
 
 USE_BOOTING, USE_IDLE, USE_FREE = "booting", "idle", "free room"
-# Causes of an end that are no loss: the task or its job was over, or the task never began.
+# Causes with which a task ends without being lost: it or its job was over, or it never began.
 NOT_LOSSES = frozenset(("done", "the job is over", "done already", "not sent"))
 
 
@@ -23,16 +23,16 @@
 class CostAccounting:
     """What this leader has seen spent since `since`, in the cloud's currency unit.
 
-    Each machine's cost is split by use: the share of CPUs that each task requests (of GPUs on a machine that has any),
-    and the rest that no task uses. The parts add up to the whole.
+    Each machine's cost is split by use: by the share of its CPUs that each task requests (of its GPUs if it has any),
+    and the rest that no task uses. The costs by use add up to the costs by machine type.
     """
 
     since: float  # steady clock, s
     charged_until: float  # steady clock, s
     by_machine: dict[tuple[str, str], float] = field(default_factory=_sums)  # (machine type, spot or ordinary)
     by_use: dict[tuple[str, str], float] = field(default_factory=_sums)  # (team, class), or ("", USE_...)
-    paid_cpu_s: float = 0.0
-    useful_cpu_s: float = 0.0
+    paid_cpu_s: float = 0.0  # CPU seconds of all machines
+    useful_cpu_s: float = 0.0  # CPU seconds of completed tasks and of running services
 
     def charge(self, machines: Iterable[Machine], now: float) -> None:
         """Charge the time since the last call according to the present machines and tasks.
@@ -54,15 +54,15 @@
                 self._split_by_use(machine, cost, elapsed_s)
 
     def _split_by_use(self, machine: Machine, cost: float, elapsed_s: float) -> None:
-        left = 1.0
+        unused = 1.0
         for attempt in machine.attempts.values():
             spec = attempt.job.spec
-            part = min(left, spec.gpus / machine.type.gpus if machine.type.gpus else spec.cpus / machine.type.cpus)
-            left -= part
-            self.by_use[(spec.team, spec.job_class)] += cost * part
+            share = min(unused, spec.gpus / machine.type.gpus if machine.type.gpus else spec.cpus / machine.type.cpus)
+            unused -= share
+            self.by_use[(spec.team, spec.job_class)] += cost * share
             if spec.kind is Kind.SERVICE and attempt.state is TaskState.RUNNING:
                 self.useful_cpu_s += spec.cpus * elapsed_s
-        self.by_use[("", USE_FREE)] += cost * left
+        self.by_use[("", USE_FREE)] += cost * unused
 
     def ended(self, attempt: Attempt, cause: str, now: float) -> None:
         """Count the run time of a completed task as useful."""
@@ -91,11 +91,11 @@
 
 @dataclass(slots=True)
 class LossStats:
-    """Tasks lost through one cause, and the times until they ran again."""
+    """Tasks lost through one cause. `durations_s`: times until they ran again, of the latest recoveries."""
 
     lost: int = 0
     recovered: int = 0
-    durations_s: deque[float] = field(default_factory=lambda: deque(maxlen=c.MAX_SAMPLES_KEPT))  # the latest
+    durations_s: deque[float] = field(default_factory=lambda: deque(maxlen=c.MAX_SAMPLES_KEPT))
     longest_s: float = 0.0
 
 
@@ -103,7 +103,7 @@
 class Recoveries:
     """Tasks that ended without completing, by cause, and how long it took until each ran again.
 
-    At most MAX_LOSSES lost tasks are tracked until they run again; more are only counted.
+    At most MAX_LOSSES lost tasks are tracked until they run again; further ones are only counted.
     """
 
     causes: dict[str, LossStats] = field(default_factory=dict)
--- a/pepperlatch/console/extension.py
+++ b/pepperlatch/console/extension.py
@@ -1,7 +1,7 @@
-"""The console as an extension of a controller. Kept small so that it adds little to the start time.
+"""The console as an extension of a controller.
 
-While its node leads, it records events and time lines and saves them every SAVE_INTERVAL_S. The modules that answer
-viewers are imported at the first request.
+While its node leads, it records events and time lines, and saves the time lines every SAVE_INTERVAL_S. The modules that
+answer viewers are imported at the first request, so that the extension adds little to a controller's start time.
 """
 
 import logging
@@ -86,7 +86,10 @@
         return Response(200, text, {"Content-Type": content_type})
 
     async def run(self) -> None:
-        """Serve the members' listener, if configured, and from the first request on keep the viewers' rows current."""
+        """Serve the members' listener, if configured; from the first request on, also keep the viewers' rows current.
+
+        Runs until cancelled.
+        """
         async with trio.open_nursery() as nursery:
             if self._config.public.listen:
                 from pepperlatch.console.public import MembersView
@@ -100,9 +103,9 @@
             await self._get_view_service().run()
 
     async def run_while_leading(self, term: Term) -> None:
-        """Restore the time lines that the last leader saved, then save regularly and charge the machines' costs.
+        """Restore the time lines that the last leader saved; then save regularly, and charge the machines' costs.
 
-        Cancelled during a save, it leaves the previous save complete.
+        If it is cancelled during a save, the previous save stays complete.
         """
         from pepperlatch.console.persistence import TimelinePersistence
 
--- a/pepperlatch/console/formatting.py
+++ b/pepperlatch/console/formatting.py
@@ -25,6 +25,7 @@
 RECOVERY_COLUMNS = ("lost through", "tasks", "run again", "still waiting", "median", "longest")
 MONEY_COLUMNS = ("what", "spent", "share")
 
+# Units of durations with their lengths in s, each followed by the unit in which the rest is shown.
 _UNITS = (("d", 86400, "h", 3600), ("h", 3600, "min", 60), ("min", 60, "s", 1))
 _PRIORITY_RANKS = {priority.value: rank for priority, rank in PRIORITY_RANK.items()}
 
@@ -34,10 +35,10 @@
     if seconds is None:
         return ""
     whole = max(0, round(seconds))
-    for unit, size, lower, part in _UNITS:
+    for unit, size, lower_unit, lower_size in _UNITS:
         if whole >= size:
-            rest = whole % size // part
-            return f"{whole // size} {unit} {rest} {lower}" if rest else f"{whole // size} {unit}"
+            rest = whole % size // lower_size
+            return f"{whole // size} {unit} {rest} {lower_unit}" if rest else f"{whole // size} {unit}"
     return f"{whole} s"
 
 
@@ -101,7 +102,7 @@
 
 
 def group_by_reason(found: Iterable[JobRow]) -> list[ReasonGroup]:
-    """Groups jobs by reason: the group with the most urgent waiting job first, running jobs last."""
+    """Group jobs by the kind of their reason: the group with the most urgent waiting job first, running jobs last."""
     by_why: dict[str, list[JobRow]] = defaultdict(list)
     for row in sorted(found, key=urgency_key):
         by_why[row.why].append(row)
@@ -135,14 +136,14 @@
 
 
 def machine_cells(machines: Iterable[dict[str, Any]]) -> list[list[str]]:
-    """Machines that need attention first."""
-    calm = ("busy", "idle", "booting", "joining")
+    """One row a machine, with those that need attention first."""
+    normal_states = ("busy", "idle", "booting", "joining")
     return [
         [
             m["name"], m["type"], m["zone"], "spot" if m["spot"] else "", m["state"], m["why"], str(m["tasks"]),
             f"{m['used_share']:.0%}", duration_text(m["silent_s"]),
         ]
-        for m in sorted(machines, key=lambda m: (m["state"] in calm, m["state"], m["name"]))
+        for m in sorted(machines, key=lambda m: (m["state"] in normal_states, m["state"], m["name"]))
     ]  # fmt: skip
 
 
@@ -151,7 +152,7 @@
 
 
 def timeline_cells(line: Sequence[dict[str, Any]], zone: tzinfo | None, now: float) -> list[list[str]]:
-    """The cells of a time line. A reason lasts until the next reason, the end of the job, or a gap."""
+    """The cells of a time line, one row an event. A reason lasts until the next reason, a gap, or the job's end."""
     cells = []
     for n, event in enumerate(line):
         ends = next((e["at"] for e in line[n + 1 :] if e["what"] in ("reason", "over", "gap")), now)
@@ -168,7 +169,7 @@
 
 
 def queue_position_text(order: dict[str, Any] | None) -> str:
-    """A job's position among the jobs without a placement, and which jobs are before it; empty for None."""
+    """A job's position among the jobs without a placement, and the jobs before it; empty for None."""
     if order is None:
         return ""
     if not order["before"]:
--- a/pepperlatch/console/history.py
+++ b/pepperlatch/console/history.py
@@ -1,8 +1,9 @@
 """Time lines of jobs in a compact encoding and bounded memory: what happened to each job, and when. No I/O, no clock.
 
 A time line is a sequence of 15-byte records. Equal events that are close together are merged into one record with a
-count. The middle of a long time line is replaced by one record with the number dropped. Over the memory budget, the
-time lines of jobs that ended longest ago are dropped and counted. A time line may have gaps, but always shows them.
+count. The middle of a long time line is replaced by one record with the number of dropped records. When the memory
+limit is exceeded, the time lines of jobs that ended longest ago are dropped and counted. A time line may have gaps, but
+always shows them.
 """
 
 import struct
@@ -19,7 +20,7 @@
 _RECORD = struct.Struct("<IBHII")  # tenths of a second since `base`, kind, count, text, subject
 _Fields = tuple[int, int, int, int, int]
 SEVERAL_SUBJECTS = 0xFFFFFFFF  # subject index of a merged record with different subjects
-VERSION = 1
+VERSION = 1  # of the saved form
 
 
 class EventKind(IntEnum):
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True)
 class StringTable:
-    """Strings that records refer to by index, each stored once. Index 0 is the empty string."""
+    """Strings to which records refer by index, each stored once. Index 0 is the empty string."""
 
     texts: list[str] = field(default_factory=lambda: [""])
     bytes: int = 0  # approximate memory use
@@ -132,7 +133,7 @@
             self._drop_middle(line)
         if what is EventKind.OVER:
             self._ended[job_id] = None
-        self._enforce_budget()
+        self._enforce_memory_limit()
 
     def _merge_into_last(
         self, line: bytearray, tenths: int, what: EventKind, text_index: int, subject_index: int
@@ -156,7 +157,7 @@
         return True
 
     def _drop_middle(self, line: bytearray) -> None:
-        """Replace the middle of a long time line by one record with the number of dropped records."""
+        """Replace the middle of a time line by one record with the number of dropped records."""
         size = _RECORD.size
         head, tail = c.TIMELINE_HEAD_RECORDS * size, len(line) - c.TIMELINE_TAIL_RECORDS * size
         dropped, first = 0, 0
@@ -167,8 +168,8 @@
         line[head:tail] = _RECORD.pack(first, EventKind.SQUEEZED, min(dropped, 0xFFFF), 0, 0)
         self._records -= (tail - head) // size - 1
 
-    def _enforce_budget(self) -> None:
-        """Drop time lines until the size is within `max_bytes`: finished jobs first, then the oldest, but for one."""
+    def _enforce_memory_limit(self) -> None:
+        """Drop time lines until the size is within `max_bytes`: of finished jobs first, then the oldest; keep one."""
         while self.size() > self.max_bytes and self._ended:
             self._drop_timeline(next(iter(self._ended)))
         while self.size() > self.max_bytes and len(self._timelines) > 1:
@@ -193,7 +194,7 @@
     # --- saving and restoring ---------------------------------------------------------------------
 
     def pack(self, at: float, max_bytes: int, first: Iterable[str]) -> bytes:
-        """Encodes and compresses as many time lines as fit `max_bytes`.
+        """Encode and compress as many time lines as fit into `max_bytes`.
 
         The jobs in `first` (the unfinished ones) come first, then the most recently ended jobs. `at`: time of day, s.
         """
@@ -238,11 +239,11 @@
         for job_id, line in own.items():
             self._append_own(job_id, list(_RECORD.iter_unpack(line)), started_at)
         self._ended.update(own_ended)
-        self._enforce_budget()
+        self._enforce_memory_limit()
         return len(earlier)
 
     def _add_earlier(self, job_id: str, records: list[_Fields], saved: SavedHistory) -> None:
-        """Add the records of a saved time line, with indexes translated to this history's strings."""
+        """Add the records of a saved time line, with their string indexes translated to those of this history."""
         for tenths, kind, count, text, subject in records:
             subject_name = "" if subject == SEVERAL_SUBJECTS else _string_at(saved.subjects, subject)
             self.add(
@@ -280,7 +281,7 @@
 
 
 def _decompress(packed: bytes) -> SavedHistory:
-    """Raises UnreadableHistory. Decompresses at most MAX_HISTORY_BYTES."""
+    """The saved history, of which at most MAX_HISTORY_BYTES are decompressed. Raises UnreadableHistory."""
     try:
         plain = zlib.decompressobj().decompress(packed, c.MAX_HISTORY_BYTES)
         saved: SavedHistory = msgspec.msgpack.decode(plain, type=SavedHistory)
--- a/pepperlatch/console/metrics.py
+++ b/pepperlatch/console/metrics.py
@@ -24,7 +24,7 @@
 
 
 class Collector:
-    """Reads all values at the time of the scrape. A follower exposes only the values of its own node."""
+    """Reads all values at the time of the scrape. A follower exposes only values about its own node."""
 
     def __init__(self, core: ExtensionContext, leader_and_recorder: LeaderAndRecorder) -> None:
         self._core = core
--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -1,8 +1,8 @@
-"""The data that a leader shows: rows of jobs with a revision number, machines, teams and costs.
+"""The data that a leader shows to viewers: rows of jobs with a revision number, machines, teams and costs.
 
-The terminal console and the report are both built from these answers. Each answer is read from the leader's state
-without yielding to other tasks, so it is consistent. A job's row is rebuilt only after an event of that job; without a
-viewer no rows are kept.
+The terminal console and the report are both built from this data. Each answer is read from the leader's state without
+yielding to other tasks, so it is consistent. A job's row is rebuilt only after an event of that job; no rows are kept
+while there is no viewer.
 """
 
 from bisect import bisect_right
@@ -50,7 +50,7 @@
         self._published_at: dict[str, float] = {}  # steady clock, s
         self._ended_at: dict[str, float] = {}  # finished jobs, oldest first; steady clock, s
         self._totals: tuple[int, dict[str, Any]] = (-1, {})  # revision and the totals computed at it
-        self._deferred_count = 0  # rows with a new text only, shown less than MIN_TEXT_REFRESH_S ago
+        self._deferred_count = 0  # changed rows that wait because only their text differs (see refresh)
         self._reason_texts: dict[int, tuple[Reason, str]] = {}  # by id() of the reason
         self._last_result: tuple[int, Query, list[JobRow]] | None = None  # revision, query and rows, for the next page
 
@@ -59,7 +59,8 @@
     def refresh(self, max_rows: int = c.ROWS_PER_BATCH) -> None:
         """Rebuild the rows of at most `max_rows` changed jobs; the first time, all unfinished jobs count as changed.
 
-        `pending` tells how many are left for later calls.
+        A row of which only the text has changed is shown again at most every MIN_TEXT_REFRESH_S.
+        `pending` is the number of jobs left for later calls.
         """
         now, wall_offset = self.leader.clock(), self.leader.wall() - self.leader.clock()
         dirty = self.recorder.dirty
@@ -88,7 +89,7 @@
             self._compact()
 
     def pending(self) -> int:
-        """Number of changed jobs whose rows are not rebuilt yet, without those deferred because only a text changed."""
+        """Number of changed jobs whose rows are not rebuilt yet; those with nothing but a new text do not count."""
         return max(0, len(self.recorder.dirty or ()) - self._deferred_count)
 
     def discard_rows(self) -> None:
@@ -117,13 +118,13 @@
             self._change_log.append((revision, job_id))
 
     def _compact(self) -> None:
-        """Drop stale entries of the change log, and all but the last MAX_PAGE_ITEMS entries of removed rows."""
-        live = [(revision, job_id) for revision, job_id in self._change_log if self._changed.get(job_id) == revision]
-        gone = [entry for entry in live if entry[1] not in self.rows]
-        for revision, job_id in gone[: -c.MAX_PAGE_ROWS]:
+        """Drop stale entries of the change log, and all but the last MAX_PAGE_ROWS entries of removed rows."""
+        current = [(revision, job_id) for revision, job_id in self._change_log if self._changed.get(job_id) == revision]
+        removed = [entry for entry in current if entry[1] not in self.rows]
+        for revision, job_id in removed[: -c.MAX_PAGE_ROWS]:
             self.oldest_revision = max(self.oldest_revision, revision)
             del self._changed[job_id]
-        self._change_log = [entry for entry in live if entry[1] in self._changed]
+        self._change_log = [entry for entry in current if entry[1] in self._changed]
 
     def _build_row(self, job_id: str, previous: JobRow | None, wall_offset: float) -> JobRow | None:
         """The job's current row, or None if there is nothing to show.
@@ -154,8 +155,8 @@
     def page(self, query: Query) -> dict[str, Any]:
         """One page of rows; `next` is the cursor of the following page.
 
-        Following pages come from the same result unless another query is answered in between. In any case a client gets
-        a consistent copy by applying the changes since the first page's revision.
+        Following pages come from the same result unless another query is answered in between. In either case a client
+        gets a consistent copy by applying the changes since the first page's revision.
         """
         wanted = msgspec.structs.replace(query, after="")
         cached = self._last_result
@@ -220,7 +221,7 @@
         }
 
     def overview(self) -> dict[str, Any]:
-        """Everything but the job rows: totals, teams, machines, drains, offers, costs, recoveries, history size."""
+        """Everything but the job rows: totals, teams, machines, drains, refused offers, costs, recoveries, history."""
         leader = self.leader
         cluster, planner = leader.cluster, leader.planner
         now = leader.clock()
@@ -276,11 +277,11 @@
 
 
 def _row_from_job(job: Job, text: str, accepted: float, wall_offset: float, previous: JobRow | None) -> JobRow:
-    """Makes the row of a job that the leader works on.
+    """The row of a job that the leader works on.
 
     `wall_offset`: seconds to add to the steady clock to get the time of day. The time of day drifts against the steady
     clock, so `since` keeps its previous value while the reason is unchanged and the difference is below
-    `SPAN_START_TOLERANCE_S`.
+    SPAN_START_TOLERANCE_S.
     """
     spec, reason = job.spec, job.reason
     running = job.running() if job.live else 0
@@ -307,10 +308,10 @@
     previous: JobRow | None = None,
     progress: JobProgress | None = None,
 ) -> JobRow | None:
-    """Makes a job's row from its record: for jobs that wait for others or are finished, and all jobs on a follower.
+    """A job's row made from its record: for jobs that wait for others or are finished, and on a follower for all jobs.
 
-    `wall`: time of day, s. `previous`: the job's row so far; a finished job without one gets no row.
-    `progress`: what the leader last told a follower about the job.
+    `wall`: time of day, s. `previous`: the job's row so far; a finished job without one gets no row. `progress`: what
+    the leader last reported to a follower about the job.
     """
     spec, reason = entry.record.spec, recorded_reason(replica, job_id)
     if entry.state in wire.FINAL_JOB_STATES:
--- a/pepperlatch/console/persistence.py
+++ b/pepperlatch/console/persistence.py
@@ -1,8 +1,8 @@
-"""Saves time lines in the state service, so that the next leader can continue them. Uses only spare write budget.
+"""Saves time lines in the state service, so that the next leader can continue them.
 
-A save is compressed, encoded as text and cut into pieces, stored under `c/line/SLOT/N`. Two slots are written in turn,
-so a leader that dies while it saves leaves the previous save complete. Each piece names the save that it belongs to;
-a slot with pieces of two saves is ignored.
+A save is compressed, encoded as text and cut into pieces, stored under `c/line/SLOT/N`. It uses only the write budget
+that other writes leave. Two slots are written in turn, so a leader that dies while it saves leaves the previous save
+complete. Each piece names the save that it belongs to; a slot with pieces of two saves is ignored.
 """
 
 import base64
@@ -54,7 +54,7 @@
     # --- restoring ----------------------------------------------------------------------------------
 
     async def restore(self) -> None:
-        """Insert the newest readable save before this leader's own records; saves that can't be read are logged.
+        """Insert the newest readable save before this leader's own records; unreadable saves are logged and skipped.
 
         Retries while the state service doesn't answer, until the term is over. Without a readable save, the time before
         this term is marked as a gap.
@@ -92,7 +92,7 @@
     # --- saving -------------------------------------------------------------------------------------
 
     async def save(self) -> None:
-        """Write one save, piece by piece as the write budget allows; nothing if there are no new records.
+        """Write one save, piece by piece as the write budget allows; do nothing if there are no new records.
 
         Raises NotExecuted or OutcomeUnknown if the state service fails; the slot then holds no complete save.
         """
@@ -100,8 +100,8 @@
         if changed == self._saved_count:
             return
         unfinished = [job_id for job_id, job in self._leader.cluster.jobs.items() if not job.over]
-        most = self._max_pieces * self._piece_bytes * 3 // 4
-        packed = self._recorder.history.pack(self._core.wall(), most, unfinished)
+        max_bytes = self._max_pieces * self._piece_bytes * 3 // 4  # base64 writes 3 bytes as 4 characters
+        packed = self._recorder.history.pack(self._core.wall(), max_bytes, unfinished)
         texts = store.split_text(base64.b64encode(packed).decode("ascii"), self._piece_bytes)
         slot = (self._first_slot + self._save_number) % c.SAVE_SLOTS
         for n, text in enumerate(texts):
@@ -124,10 +124,7 @@
         try:
             outcome = await self._core.state.txn([leader_condition], [wire.put(key, wire.to_plain(piece))])
         except Rejected as error:
-            log.info(
-                "state service refused a piece of the time lines, retrying with the next save: %s",
-                error,
-            )
+            log.info("state service refused a piece of the time lines, retrying with the next save: %s", error)
             return False
         return outcome.applied
 
@@ -146,7 +143,7 @@
             slots.setdefault(int(slot), {})[int(number)] = wire.convert(pair.value, Piece)
         except (ValueError, msgspec.ValidationError) as error:
             log.info("%s is not a piece of saved time lines and is ignored: %s", pair.key, error)
-    return [whole for slot, pieces in slots.items() if (whole := _assemble_save(slot, pieces)) is not None]
+    return [save for slot, pieces in slots.items() if (save := _assemble_save(slot, pieces)) is not None]
 
 
 def _assemble_save(slot: int, pieces: dict[int, Piece]) -> tuple[tuple[int, int], int, bytes] | None:
@@ -154,10 +151,10 @@
     first: Any = pieces.get(0)
     if first is None or not 1 <= first.of <= c.MAX_SAVE_VALUES:
         return None
-    row = [pieces.get(n) for n in range(first.of)]
-    if any(piece is None or (piece.token, piece.number) != (first.token, first.number) for piece in row):
+    found = [pieces.get(n) for n in range(first.of)]
+    if any(piece is None or (piece.token, piece.number) != (first.token, first.number) for piece in found):
         return None
     try:
-        return (first.token, first.number), slot, base64.b64decode("".join(piece.text for piece in row if piece))
+        return (first.token, first.number), slot, base64.b64decode("".join(piece.text for piece in found if piece))
     except ValueError:
         return None
--- a/pepperlatch/console/poller.py
+++ b/pepperlatch/console/poller.py
@@ -40,7 +40,7 @@
 
 
 class Poller:
-    """Polls every CONSOLE_POLL_INTERVAL_S and calls `on_update` after each poll, also after a failed one."""
+    """Polls every CONSOLE_POLL_INTERVAL_S, and calls `on_update` after each poll, even if it failed."""
 
     def __init__(self, view_copy: ViewCopy, selection: Selection, on_update: Callable[[ViewState], None]) -> None:
         self._view_copy = view_copy
--- a/pepperlatch/console/public.py
+++ b/pepperlatch/console/public.py
@@ -20,8 +20,8 @@
 class Redactor:
     """Replaces job ids by pseudonyms, and removes jobs of teams that are not shown.
 
-    A job keeps its pseudonym for the life of `key`, which is random if not given. `names`: show job ids as they are.
-    `teams`: the teams shown, all if empty.
+    A job has the same pseudonym wherever `key` is the same; a random key is used if none is given. `names`: show job
+    ids as they are. `teams`: the teams shown, all if empty.
     """
 
     def __init__(self, names: bool, teams: list[str], key: bytes | None = None) -> None:
@@ -88,7 +88,7 @@
         return {**shown, "next": self._cursor_pseudonym(answer["next"])} if "next" in answer else shown
 
     def _cursor_pseudonym(self, after: str) -> str:
-        """A word that stands for the cursor in later requests; the last MAX_PUBLIC_PAGES are known."""
+        """The pseudonym that later requests send in place of the cursor; the last MAX_PUBLIC_PAGES are known."""
         if not after:
             return ""
         pseudonym = self._redactor.pseudonym(after)
--- a/pepperlatch/console/recorder.py
+++ b/pepperlatch/console/recorder.py
@@ -1,6 +1,6 @@
-"""Receives a leader's events during one term.
+"""Receives a leader's events during one term, and records time lines, costs, recoveries and machine events.
 
-It records time lines, costs, recoveries and machine events, and marks the jobs whose rows must be rebuilt.
+It also marks the jobs whose rows must be rebuilt.
 """
 
 from collections import deque
@@ -27,7 +27,7 @@
 
 
 class Recorder:
-    """Implements `policy.events.Listener`. Called in the command loop; each method takes some microseconds."""
+    """Implements `policy.events.Listener`. Called by the command loop; each method takes some microseconds."""
 
     def __init__(
         self, clock: Clock, wall: Clock, accepted_at: Callable[[str], float],
@@ -47,7 +47,7 @@
         self.recoveries = Recoveries()
         self.events: deque[ClusterEvent] = deque(maxlen=c.MAX_EVENTS_KEPT)
         self.dirty: set[str] | None = None  # jobs whose rows must be rebuilt; None without viewers
-        self.records_written = 0  # tells whether there is something new to save
+        self.records_written = 0  # by which the next save sees whether there is something new
 
     def _time_of_day(self, now: float) -> float:
         """The time of day, s, at `now` of the steady clock."""
--- a/pepperlatch/console/report.py
+++ b/pepperlatch/console/report.py
@@ -1,4 +1,4 @@
-"""The HTML report: one self-contained file without network access, everything escaped. Same data as the console."""
+"""The HTML report: one file that needs no network, with all values escaped. It shows the same data as the console."""
 
 import base64
 import hashlib
@@ -24,7 +24,11 @@
 
 @dataclass(slots=True)
 class Content:
-    """The report's data, already reduced to what its reader may see. `left_out`: number of jobs not in `rows`."""
+    """The report's data, already reduced to what its reader may see.
+
+    `stale`: why the data may be old, or empty. `left_out`: number of jobs that are not in `rows`. `lines`: jobs with
+    their details and time lines.
+    """
 
     head: dict[str, Any]
     rows: list[JobRow]
@@ -75,6 +79,7 @@
 
 
 def wait_bars(groups: Sequence[ReasonGroup]) -> list[Bar]:
+    """Waiting tasks by reason; each bar is relative to the largest."""
     waiting = [group for group in groups if group.tasks]
     most = max((group.tasks for group in waiting), default=1)
     return [
@@ -84,7 +89,7 @@
 
 
 def team_bars(teams: Iterable[dict[str, Any]]) -> list[Bar]:
-    """CPUs in use by team, with the guarantee as a mark; each bar is relative to the team's own limit."""
+    """CPUs in use by team, with the guarantee as a mark; each bar is relative to its team's limit."""
     bars = []
     for team in teams:
         limit = max(team["cpus_limit"], team["cpus"], 1e-9)
@@ -94,6 +99,7 @@
 
 
 def machine_bars(totals: Iterable[dict[str, Any]]) -> list[Bar]:
+    """Machines by state; each bar is relative to the largest."""
     counts = formatting.machine_counts(totals)
     most = max(counts.values(), default=1)
     return [Bar(state, str(count), count / most) for state, count in counts.items()]
@@ -112,7 +118,7 @@
 
 
 def render(content: Content, zone: tzinfo | None, title: str = "pepperlatch") -> str:
-    """The whole page. Names of jobs, teams and classes are chosen by users, so all values are escaped.
+    """The HTML page. Names of jobs, teams and classes are chosen by users, so all values are escaped.
 
     The Content-Security-Policy allows the page's own script only, by its hash.
     """
@@ -142,7 +148,7 @@
 
 
 def _tables(content: Content, zone: tzinfo | None, now: float) -> list[tuple[str, Sequence[str], list[list[str]]]]:
-    """The tables that have rows: title, columns, rows."""
+    """Title, columns and rows of each table that has rows."""
     overview = content.overview
     money = overview.get("money")
     found: list[tuple[str, Sequence[str], list[list[str]]]] = [
--- a/pepperlatch/console/rows.py
+++ b/pepperlatch/console/rows.py
@@ -69,9 +69,10 @@
 
 
 class Query(msgspec.Struct, frozen=True):
-    """Which jobs, in which order. Empty fields don't filter.
+    """Which jobs to show, in which order. Empty fields don't filter.
 
-    `page`: rows of a page; `most`: bytes of an answer of changes; `after`: cursor from an earlier page.
+    `page`: rows of a page. `most`: approximate size in bytes of an answer with changes. `after`: cursor that an earlier
+    page gave.
     """
 
     team: str = ""
@@ -90,7 +91,7 @@
         if self.state == "unfinished":
             if row.state in FINAL_STATES:
                 return False
-            if self._matches_all():
+            if self._has_no_other_filter():
                 return True
         wanted = self.text.lower()
         return (
@@ -102,7 +103,8 @@
             and (not wanted or wanted in row.id.lower() or wanted in row.text.lower())
         )
 
-    def _matches_all(self) -> bool:
+    def _has_no_other_filter(self) -> bool:
+        """Whether no field but the state filters."""
         return not (self.team or self.job_class or self.priority or self.why or self.text)
 
     def sort_key(self, row: JobRow) -> tuple[Any, str]:
@@ -124,7 +126,7 @@
 
 
 def to_builtins(found: Iterable[JobRow]) -> list[Any]:
-    """The rows as dictionaries for JSON."""
+    """The rows as dictionaries to be encoded as JSON."""
     return [msgspec.to_builtins(row) for row in found]
 
 
@@ -159,9 +161,9 @@
     return value or ("since" if name == "sort" else "")
 
 
-def _parse_number(name: str, value: str, least: int, most: int) -> int:
-    if not value.isdecimal() or not least <= int(value[:12]) <= most:
-        raise BadQuery(f"{name}: must be a number from {least} to {most}")
+def _parse_number(name: str, value: str, minimum: int, maximum: int) -> int:
+    if not value.isdecimal() or not minimum <= int(value[:12]) <= maximum:
+        raise BadQuery(f"{name}: must be a number from {minimum} to {maximum}")
     return int(value)
 
 
@@ -199,16 +201,19 @@
 
 
 def totals(rows: Iterable[JobRow]) -> dict[str, Any]:
-    """Job counts by state; for waiting jobs also by reason, with tasks and the earliest time of day, s."""
+    """Counts of jobs by state, and of waiting jobs and their tasks by reason.
+
+    `since` in the answer: when the longest wait for that reason began, time of day, s.
+    """
     states: dict[str, int] = {}
     waits: dict[str, list[Any]] = {}
     for row in rows:
         states[row.state] = states.get(row.state, 0) + 1
         if row.waiting or row.state == _QUEUED:
-            held = waits.setdefault(row.why, [0, 0, row.since])
-            held[0] += 1
-            held[1] += row.waiting
-            held[2] = min(held[2], row.since)
+            wait = waits.setdefault(row.why, [0, 0, row.since])
+            wait[0] += 1
+            wait[1] += row.waiting
+            wait[2] = min(wait[2], row.since)
     return {
         "states": states,
         "waits": [
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class _CachedAnswer:
-    """An answer, when it was made (steady clock, s), the term's token, and its encodings by compressed or not."""
+    """An answer and its term's token. `made_at`: steady clock, s. `encoded`: the body by whether it is compressed."""
 
     made_at: float
     token: int
@@ -68,16 +68,15 @@
     # --- on the leader ------------------------------------------------------------------------------
 
     def start_term(self, leader: "Leader", recorder: Recorder) -> None:
-        """Start an empty model for a new term. Called by the extension."""
+        """Create an empty model for a new term. Called by the extension."""
         self._model = ViewModel(leader, recorder)
         self._refreshed_at = float("-inf")
         self._cache.clear()
 
     async def run(self) -> None:
-        """While there are viewers, rebuild pending rows in batches; after VIEW_IDLE_TIMEOUT_S without one, drop all
-        rows.
+        """Rebuild pending rows in batches while there are viewers; drop all rows after VIEW_IDLE_TIMEOUT_S without one.
 
-        Runs while the process lives. Batches stop when the budget is half used, so that answers have priority.
+        Runs until cancelled. Batches stop when half of the saved-up CPU budget is used, so that answers have priority.
         """
         while True:
             model, now = self._current_model(), self._core.clock()
@@ -87,9 +86,8 @@
                     self._cache.clear()
                 await trio.sleep(c.MIN_REFRESH_INTERVAL_S)
                 continue
-            has_budget = (
-                self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2
-            )  # half is for answers
+            # The other half of the budget is for answers.
+            has_budget = self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2
             if model.pending() and has_budget and not model.leader.command_loop.is_backlogged():
                 with self._charge_cpu(now):
                     model.refresh()
@@ -105,9 +103,9 @@
     def _answer_from_model(self, model: ViewModel, path: str, query_string: str) -> "_CachedAnswer":
         """The answer from the model, or a recent cached one for the same request.
 
-        Without CPU budget, a cached answer up to MAX_ANSWER_AGE_S old is given, marked `busy`. Raises LeaderBusy if
-        there is
-        none, BadQuery, ChangesExpired, or KeyError for an unknown job.
+        If the CPU budget is used up or the command loop has a backlog, a cached answer up to MAX_ANSWER_AGE_S old is
+        given, marked `busy`. Raises LeaderBusy if there is none, BadQuery, ChangesExpired, or KeyError for an unknown
+        job.
         """
         now = self._core.clock()
         self._last_request_at = now
@@ -137,7 +135,7 @@
 
     @contextmanager
     def _charge_cpu(self, now: float) -> Iterator[None]:
-        """Takes the processor time of the block from the viewers' budget."""
+        """Take the processor time that the block uses from the viewers' CPU budget."""
         began = self._cpu_time()
         try:
             yield
@@ -236,7 +234,7 @@
             return Response(503, {"error": why}, {"Retry-After": str(c.BUSY_RETRY_S)})
 
     async def _forward_to_leader(self, path: str, query_string: str) -> Response:
-        """The leader's answer, or if it gives none, an answer from this node's records with its age."""
+        """The leader's answer; if it gives none, an answer from this node's records that states their age."""
         leader_and_token = self._core.watcher.replica.leader
         peer = next(
             (p for p in self._core.settings.peers if leader_and_token is not None and p.node == leader_and_token[0]),
@@ -252,8 +250,8 @@
                 if status != 409 and isinstance(answer, dict):
                     if status == 200:
                         answer["node"] = self._core.settings.node
-                    after = {"Retry-After": str(c.BUSY_RETRY_S)} if status == 503 else {}
-                    return Response(status, answer, after)
+                    headers = {"Retry-After": str(c.BUSY_RETRY_S)} if status == 503 else {}
+                    return Response(status, answer, headers)
             except (NotSent, NoUsableResponse):
                 pass
             why = f"{peer.node}, which leads, does not answer this node"
@@ -262,7 +260,7 @@
     def _answer_from_records(self, path: str, query_string: str, why: str) -> Response:
         """Jobs or totals from this node's copy of the records and the progress that the leader last reported.
 
-        Other paths are answered 503. `why`: why the leader did not answer.
+        Other paths are answered with 503. `why`: why the leader did not answer.
         """
         core, replica = self._core, self._core.watcher.replica
         if path not in (f"{BASE_PATH}/jobs", f"{BASE_PATH}/overview"):
@@ -272,7 +270,7 @@
             row_from_record(job_id, entry, replica, wall, progress=snapshot.progress(job_id))
             for job_id, entry in replica.jobs.items() if entry.state not in wire.FINAL_JOB_STATES
         ]  # fmt: skip
-        made = [row for row in found if row is not None]
+        shown_rows = [row for row in found if row is not None]
         leader_and_token = replica.leader
         now = core.clock()
         age_s = (
@@ -289,10 +287,10 @@
             "source": "records", "why": why,
         }  # fmt: skip
         if path == f"{BASE_PATH}/overview":
-            return Response(200, {**head, **rows.totals(made)})
+            return Response(200, {**head, **rows.totals(shown_rows)})
         query = rows.parse_query(query_string)[0]
-        shown, after = rows.page(rows.select(made, query), query)
-        return Response(200, {**head, "jobs": rows.to_builtins(shown), "next": after, "shown": len(made)})
+        shown, after = rows.page(rows.select(shown_rows, query), query)
+        return Response(200, {**head, "jobs": rows.to_builtins(shown), "next": after, "shown": len(shown_rows)})
 
 
 def _is_known_path(path: str) -> bool:
--- a/pepperlatch/console/terminal.py
+++ b/pepperlatch/console/terminal.py
@@ -68,14 +68,14 @@
 
 
 class ConsoleApp(App[None]):
-    """The terminal application. It calls `on_select` when the selection changes, and displays what `show` is given."""
+    """The terminal application. It calls `on_select` when the selection changes; `show` displays a view state."""
 
     CSS = """
     Screen { overflow: hidden; }
     #views { height: 1fr; }
     #head { height: 1; }
     #stale { height: auto; text-style: reverse; }
-    #words { height: auto; padding: 0 0 1 0; }
+    #summary { height: auto; padding: 0 0 1 0; }
     Table { height: 1fr; }
     #filter { height: 3; }
     """
@@ -105,10 +105,11 @@
                 with TabPane(view, id=view), Vertical():
                     if view == "jobs":
                         yield Input(placeholder="team:... class:... priority:... why:... or words", id="filter")
-                    yield Static("", id=f"words-{view}", markup=False)
+                    yield Static("", id=f"summary-{view}", markup=False)
                     yield Table(id=f"table-{view}", cursor_type="row", zebra_stripes=True)
                     if view == "jobs":
-                        yield Static("", id="whole", markup=False)  # full reason of the row under the cursor
+                        # The full reason of the row under the cursor, which a narrow column cuts off.
+                        yield Static("", id="reason", markup=False)
         yield Footer()
 
     # --- input ------------------------------------------------------------------------------------
@@ -134,7 +135,7 @@
         try:
             query = parse_filter(event.value)
         except BadQuery as error:
-            self.query_one("#words-jobs", Static).update(str(error))
+            self.query_one("#summary-jobs", Static).update(str(error))
             return
         self._selection = Selection(query, "jobs", self._selection.job)
         self._on_select(self._selection)
@@ -144,7 +145,7 @@
         if event.data_table.id == "table-jobs" and self._last_state is not None:
             job = self._table("jobs").current_key()
             row = next((row for row in self._last_state.rows if row.id == job), None)
-            self.query_one("#whole", Static).update(formatting.reason_text(row, self._last_state.now) if row else "")
+            self.query_one("#reason", Static).update(formatting.reason_text(row, self._last_state.now) if row else "")
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
         table = event.data_table
@@ -170,11 +171,12 @@
         self.query_one("#head", Static).update(_header_text(view_state, self._zone))
         self.query_one("#stale", Static).update(f"STALE: {view_state.stale}" if view_state.stale else "")
         if view_state.head:
-            words, columns, rows = self._content(view_state)
-            self.query_one(f"#words-{self._selection.view}", Static).update(words)
+            summary, columns, rows = self._content(view_state)
+            self.query_one(f"#summary-{self._selection.view}", Static).update(summary)
             self._table(self._selection.view).replace_rows(columns, rows)
 
     def _content(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
+        """The selected view: the text above its table, and the table's columns and rows."""
         view, overview = self._selection.view, view_state.overview
         if view == "jobs":
             return self._jobs_content(view_state)
@@ -182,8 +184,8 @@
             return self._job_content(view_state)
         if view == "machines":
             counts = formatting.machine_counts(overview.get("machines", []))
-            words = ", ".join(f"{count} {state}" for state, count in counts.items())
-            return words, formatting.MACHINE_COLUMNS, formatting.machine_cells(view_state.listing)
+            summary = ", ".join(f"{count} {state}" for state, count in counts.items())
+            return summary, formatting.MACHINE_COLUMNS, formatting.machine_cells(view_state.listing)
         if view == "teams":
             return "", formatting.TEAM_COLUMNS, formatting.team_cells(overview.get("teams", []))
         if view == "events":
@@ -194,12 +196,12 @@
     def _jobs_content(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
         found = view_state.rows[: c.MAX_TERMINAL_ROWS]
         more = len(view_state.rows) - len(found)
-        words = f"{len(view_state.rows)} jobs" + (f", the first {len(found)} shown: filter with /" if more else "")
+        summary = f"{len(view_state.rows)} jobs" + (f", the first {len(found)} shown: filter with /" if more else "")
         if view_state.behind:
-            words += "; more has changed than this link is sent, the rest follows"
+            summary += "; more has changed than this link is sent, the rest follows"
         rows = [formatting.job_cells(row, view_state.now) for row in found]
         columns = formatting.JOB_COLUMNS if self.size.width >= NARROW_BELOW_COLUMNS else formatting.NARROW_COLUMNS
-        return words, columns, [row[: len(columns)] for row in rows]
+        return summary, columns, [row[: len(columns)] for row in rows]
 
     def _job_content(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
         if not self._selection.job:
@@ -224,7 +226,7 @@
 
 
 class LiveConsoleApp(ConsoleApp):
-    """The console with its poller, which is started in a thread of its own when the screen is mounted.
+    """The console with its poller, which starts in a thread of its own when the screen is mounted.
 
     If the poller fails, the console exits and `failed` holds the exception.
     """
@@ -247,9 +249,10 @@
             self._trio_token.run_sync_soon(self._poller.select, selection)
 
     def _on_view_state(self, view_state: ViewState) -> None:
-        """Pass a view state to the terminal. Called in the poller's thread, which starts when the screen is mounted.
+        """Pass a view state to the terminal. Called in the poller's thread.
 
-        A call before the screen exists would end the poller silently.
+        That thread starts only when the screen is mounted: a call before the screen exists would end the poller
+        silently.
         """
         if not self._unmounted:
             self.call_from_thread(self.show, view_state)
@@ -268,9 +271,9 @@
 
 
 def run(create_poller: PollerFactory, zone: tzinfo | None) -> None:
-    """Run the console until the viewer quits. `create_poller` makes a poller that calls the given function.
+    """Run the console until the viewer quits. `create_poller` makes a poller that calls the function given to it.
 
-    Raises what the poller failed with, except RuntimeError.
+    Raises the exception with which the poller failed, unless it is a RuntimeError.
     """
     app = LiveConsoleApp(create_poller, zone)
     app.run()
--- a/pepperlatch/console/tracing.py
+++ b/pepperlatch/console/tracing.py
@@ -20,7 +20,7 @@
 from pepperlatch.console.history import Event
 
 log = logging.getLogger("pepperlatch.trace")
-_SPAN_KINDS = ("reason", "waits", "gap")  # kinds of events that last until the next of them, or the job's end
+_SPAN_KINDS = ("reason", "waits", "gap")  # events that last until the next event of these kinds, or the job's end
 
 
 class _JobTraceIds(RandomIdGenerator):
@@ -42,7 +42,7 @@
 
 
 class JobTracer:
-    """Exports the traces of a share of all jobs, from 0 to 1. Keeps nothing between two jobs."""
+    """Exports the traces of a sample of the jobs. `share`: of all jobs, from 0 to 1. Keeps no state between jobs."""
 
     def __init__(self, node: str, share: float) -> None:
         log.setLevel(logging.INFO)  # traces are written at any LOG_LEVEL
--- a/pepperlatch/console/view_copy.py
+++ b/pepperlatch/console/view_copy.py
@@ -30,9 +30,10 @@
 
 @dataclass(slots=True)
 class ViewCopy:
-    """`ask(method, path)` tries one node after another and returns status and body; raises NoNodeAnswered.
+    """The rows of the jobs that `query` selects, and the overview.
 
-    A call that fails or is cancelled leaves the copy as it was.
+    `ask(method, path)` tries one node after another and returns status and body; it raises NoNodeAnswered. A call that
+    fails or is cancelled leaves the copy as it was.
     """
 
     ask: AskFunction
@@ -42,7 +43,7 @@
     head: dict[str, Any] = field(default_factory=dict)
     rows: dict[str, JobRow] = field(default_factory=dict)
     overview: dict[str, Any] = field(default_factory=dict)
-    behind: bool = False  # more has changed than fits in one answer
+    behind: bool = False  # more has changed than fits into one answer
     why_stale: str = ""  # no node answers, or only a follower from its records
     answered_at: float = float("-inf")  # steady clock, s
     _since_revision: int = -1  # -1: a snapshot is needed
@@ -77,8 +78,8 @@
     async def _load_pages(self, max_jobs: int) -> tuple[dict[str, Any], dict[str, JobRow]] | None:
         """The first page's answer and all rows; None if another leader, or a follower's records, answered in between.
 
-        Pages from different sources must not be combined: a page from records followed by one from a new leader with
-        few rows yet looked like the whole list.
+        Pages from different sources must not be combined: a page from records, followed by one from a new leader that
+        has built few rows yet, was taken for the complete list.
         """
         found: dict[str, JobRow] = {}
         first: dict[str, Any] = {}
--- a/tests/console/test_terminal_and_report.py
+++ b/tests/console/test_terminal_and_report.py
@@ -181,7 +181,7 @@
             app.show(view_state_of(rows[3:]))  # the cursor stays with its job
             await pilot.pause()
             assert table.current_key() == "run-000005"
-            assert str(app.query_one("#whole").render()) == "team limit: red uses 32 of 32 CPUs"
+            assert str(app.query_one("#reason").render()) == "team limit: red uses 32 of 32 CPUs"
             await pilot.press("slash", *"team:red why:team-limit 12", "enter")
             await pilot.pause()
             assert wanted[-1].query == parse_filter("team:red why:team-limit 12")
