--- a/pepperlatch/scale/addresses.py
+++ b/pepperlatch/scale/addresses.py
@@ -1,4 +1,4 @@
-"""Where each part of a run listens: each has its own loopback address; the run has a pair of ports for itself."""
+"""Where the parts of a run listen: each has its own loopback address, and the run has a pair of ports for itself."""
 
 import socket
 from dataclasses import dataclass
--- a/pepperlatch/scale/cloud.py
+++ b/pepperlatch/scale/cloud.py
@@ -21,7 +21,7 @@
 
 MACHINE_TYPE = "m1"
 BOOT_DURATION_S = 5.0  # s; short, because a run lasts minutes
-ON_DEMAND_PRICE, SPOT_PRICE = 1.0, 0.3  # for an hour; nothing in a run depends on the amounts
+ON_DEMAND_PRICE, SPOT_PRICE = 1.0, 0.3  # of a machine for an hour; nothing in a run depends on the amounts
 
 
 class Fleet:
@@ -90,7 +90,7 @@
         url = urlsplit(request.path)
         try:
             if url.path == wire.TYPES_PATH:
-                return Response(200, {"builds": [self._type()]})
+                return Response(200, {"builds": [self._machine_type()]})
             if url.path == wire.RELEASE_PATH:
                 return await self._release(orjson.loads(request.body)["perches"])
             if request.method == "POST":
@@ -99,13 +99,13 @@
         except (KeyError, TypeError, ValueError) as error:
             return Response(400, {"error": f"malformed: {error}"})
 
-    def _type(self) -> dict[str, Any]:
+    def _machine_type(self) -> dict[str, Any]:
         shape = self._scenario.machine
-        kind = wire.MachineType(
+        machine_type = wire.MachineType(
             MACHINE_TYPE, shape.cpus, 0.0, shape.memory_gb, shape.cache_gb, shape.fetch_gb_per_s,
             ON_DEMAND_PRICE, SPOT_PRICE, BOOT_DURATION_S, [zone.name for zone in self._scenario.zones],
         )  # fmt: skip
-        plain: dict[str, Any] = wire.to_plain(kind)
+        plain: dict[str, Any] = wire.to_plain(machine_type)
         return plain
 
     def _rent(self, body: Any) -> Response:
@@ -122,9 +122,9 @@
         return Response(200, {"perches": self._granted_requests[name]})
 
     def _take_spare_machines(self, zone: str, count: int) -> list[int]:
-        """Up to `count` spare machines of the zone. Names are never used twice, so machines are taken by number.
+        """The numbers of up to `count` spare machines of the zone, in ascending order: no name is used twice.
 
-        It stops at the first machine of another zone, even if the zone has spare machines after that.
+        It stops at the first machine of another zone, even if the zone has spare machines after that one.
         """
         taken: list[int] = []
         while self._next_spare < self._fleet.size and len(taken) < count and self._fleet.zone(self._next_spare) == zone:
--- a/pepperlatch/scale/control.py
+++ b/pepperlatch/scale/control.py
@@ -36,7 +36,7 @@
 
 
 class JobDescriptions(msgspec.Struct):
-    """What workers need to know of jobs, by job id. The users send it to all worker hosts before they submit."""
+    """What workers need to know of jobs, by job id. Users send it to all worker hosts before they submit a job."""
 
     needs: dict[str, JobNeeds]
 
@@ -56,15 +56,15 @@
 
 
 class ZoneCut(msgspec.Struct):
-    """The zone's machines neither reach a controller nor are reached by one for `for_s` seconds."""
+    """The machines of a zone neither reach a controller nor are reached by one for `for_s` seconds."""
 
     zone: str
     for_s: float
 
 
-def decode_message(body: bytes, kind: type[Message]) -> Message:
-    """The message in `body`. Raises msgspec.DecodeError if it is not a message of that kind."""
-    message: Message = msgspec.json.decode(body, type=kind)
+def decode_message(body: bytes, message_type: type[Message]) -> Message:
+    """The message in `body`. Raises msgspec.DecodeError if it is not a message of that type."""
+    message: Message = msgspec.json.decode(body, type=message_type)
     return message
 
 
--- a/pepperlatch/scale/machine.py
+++ b/pepperlatch/scale/machine.py
@@ -1,7 +1,7 @@
 """The state of a simulated machine that follows PROTOCOL: lease, session, report number, token, tasks and images.
 
 It does no I/O and reads no clock: its worker (`worker_host.Worker`) passes the time, in seconds of the monotonic clock.
-Work that is due later (an image arrives, a task completes) is announced by `next_due_at` and done by `step`.
+`next_due_at` tells when work is due later (an image arrives, a task completes), and `step` does it.
 """
 
 from collections.abc import Callable
@@ -69,7 +69,7 @@
     shape: MachineShape
     times: WorkerTimes
     jobs: dict[str, JobNeeds]
-    completed: set[str]  # tasks whose result is stored; all machines of the process share the set
+    completed: set[str]  # tasks whose result is stored; all machines of the worker host share the set
     record_event: Callable[[AnyEvent], None]
     lease_start: float  # when the last report that was answered was sent
     session: int = 1  # one more after each end of a lease and each restart
@@ -80,7 +80,7 @@
     image_due_at: dict[str, float] = field(default_factory=dict)  # images that are being fetched: when they arrive
     disturbed_until: float = 0.0  # until then a trouble of the scenario explains an expired lease
     token_reported_at: float = float("-inf")
-    changed: bool = False  # something has changed, so a report is due at once
+    changed: bool = False  # there is something new to report, so a report is due at once
 
     # --- reports ----------------------------------------------------------------------------------
 
@@ -138,9 +138,9 @@
             self.token_reported_at = now
             self.changed = True
 
-    def execute(self, orders: list[dict[str, Any]], now: float) -> None:
-        """Carry out commands; those that do not apply to the state of their task have no effect."""
-        for plain in orders:
+    def execute(self, commands: list[dict[str, Any]], now: float) -> None:
+        """Carry out commands in wire form; those that do not apply to the state of their task have no effect."""
+        for plain in commands:
             command = Command.from_wire(plain)
             key = (command.task, command.attempt)
             task = self.tasks.get(key)
@@ -161,20 +161,20 @@
             return
         if any(other[0] == key[0] and task.state is not TaskState.EXITED for other, task in self.tasks.items()):
             self.tasks[key] = Task(needs, TaskState.EXITED, Cause.ALREADY_RUNNING)
-        elif not self._room_for(needs):
+        elif not self._has_room_for(needs):
             self.tasks[key] = Task(needs, TaskState.EXITED, Cause.NO_ROOM)
         else:
-            self.tasks[key] = Task(needs, TaskState.FETCHING, due_at=self._image_at(needs, now))
+            self.tasks[key] = Task(needs, TaskState.FETCHING, due_at=self._image_available_at(needs, now))
             self.step(now)
 
-    def _room_for(self, needs: JobNeeds) -> bool:
-        held = [task.needs for task in self.tasks.values() if task.state is not TaskState.EXITED]
-        cpus = sum(other_needs.cpus for other_needs in held) + needs.cpus
-        memory_gb = sum(other_needs.memory_gb for other_needs in held) + needs.memory_gb
+    def _has_room_for(self, needs: JobNeeds) -> bool:
+        live_needs = [task.needs for task in self.tasks.values() if task.state is not TaskState.EXITED]
+        cpus = sum(other_needs.cpus for other_needs in live_needs) + needs.cpus
+        memory_gb = sum(other_needs.memory_gb for other_needs in live_needs) + needs.memory_gb
         return cpus <= self.shape.cpus + 1e-6 and memory_gb <= self.shape.memory_gb + 1e-6
 
-    def _image_at(self, needs: JobNeeds, now: float) -> float:
-        """When the image is on the machine; it is fetched once for all tasks that need it."""
+    def _image_available_at(self, needs: JobNeeds, now: float) -> float:
+        """When the image will be on the machine; it is fetched once for all tasks that need it."""
         if needs.image in self.images or needs.image_gb <= 0:
             return now
         due_at = self.image_due_at.setdefault(needs.image, now + needs.image_gb / self.shape.fetch_gb_per_s)
--- a/pepperlatch/scale/observer.py
+++ b/pepperlatch/scale/observer.py
@@ -1,6 +1,6 @@
 """Checks PROTOCOL's rules on what simulated machines and users recorded, independently of the controllers' code.
 
-Rules about gangs, types and kinds of machines are not checked: no run has gangs, or more than one type of machine.
+Rules about gangs and about types and kinds of machines are not checked: no run has gangs, or several types of machines.
 """
 
 import heapq
@@ -10,13 +10,7 @@
 from dataclasses import dataclass, field
 
 from pepperlatch.constants import scale as c
-from pepperlatch.scale.history import (
-    Answered,
-    AnyEvent,
-    JobDescribed,
-    TaskStarted,
-    TaskStopped,
-)
+from pepperlatch.scale.history import Answered, AnyEvent, JobDescribed, TaskStarted, TaskStopped
 
 DONE, CANCELLED = "done", "withdrawn"
 
@@ -41,7 +35,7 @@
 
 @dataclass(slots=True)
 class _Job:
-    """What the observer knows of a job. A time is infinite until what it stands for has happened."""
+    """What the observer knows of a job. Each time is infinite until the event that it is the time of has happened."""
 
     description: JobDescribed
     running: dict[int, list[TaskStarted]] = field(default_factory=lambda: defaultdict(list))  # by the task's number
--- a/pepperlatch/scale/processes.py
+++ b/pepperlatch/scale/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a run: starts, samples, kills and stops them, by the ids of the processes that it started only."""
+"""The processes of a run: starts, samples, kills and stops them. Only processes that the run started are signalled."""
 
 import os
 import signal
--- a/pepperlatch/scale/results.py
+++ b/pepperlatch/scale/results.py
@@ -1,4 +1,4 @@
-"""The result of a run: a table for people, JSON for programs, and two results side by side."""
+"""The result of a run, as a table for people and as JSON for programs, and two results side by side."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -53,11 +53,11 @@
     starts: dict[str, dict[str, float]]  # by class: from the first submission of the job until a task has its image
     starts_mean: float
     starts_peak: float  # in the best 5 s
-    running_most: int  # most tasks that ran at the same time
-    leases_ended: int  # that no trouble of the scenario explains
-    leases_ended_expected: int  # that a trouble explains
-    tasks_lost: int  # with leases of either kind
-    worker_bytes: float  # a second, to and from one worker on average
+    running_most: int  # highest number of tasks that ran at the same time
+    leases_ended: int  # leases of workers that expired although no trouble of the scenario explains it
+    leases_ended_expected: int  # expired leases that a trouble explains
+    tasks_lost: int  # with expired leases of either kind
+    worker_bytes: float  # bytes a second to and from one worker on average
     state: dict[str, float]  # of the state service: requests by kind, refusals, writes and bytes a second
     in_force: dict[str, float]  # from a change of a setting until every controller shows it
     changes_failed: int  # changes that were not in force everywhere within SETTINGS_TIMEOUT_S
@@ -69,7 +69,7 @@
 
 @dataclass
 class HistorySummary:
-    """Figures of a history: delays of submissions and starts (by job class), numbers of tasks and of ended leases."""
+    """Figures of a history: delays of submissions and starts (by job class), numbers of tasks and of expired leases."""
 
     submission: Delays = field(default_factory=Delays)
     starts: dict[str, Delays] = field(default_factory=lambda: defaultdict(Delays))
@@ -134,7 +134,7 @@
 
 
 def overview(result: Result) -> list[tuple[str, str]]:
-    """The figures of a result as (name with unit, value)."""
+    """The figures of a result as pairs of name with unit, and value."""
     rows = [
         ("workers", str(result.workers)),
         ("controllers", str(result.controllers)),
--- a/pepperlatch/scale/runner.py
+++ b/pepperlatch/scale/runner.py
@@ -29,7 +29,7 @@
 from pepperlatch.scale.scenario import CutZone, KillControllers, Machines, Scenario, Trouble
 
 IDLE_TIMEOUT_S = 3600.0  # s; value of the operators' setting `idle_s` in a run, so that idle machines are not returned
-# Part of the line that a new leader logs once it has accounted for all machines.
+# Part of the line that a new leader logs once it has accounted for all machines (`policy/cluster.py`).
 _TAKEOVER_LOG_TEXT = re.compile(r"all machines accounted for, ([\d.]+) s")
 
 
@@ -56,7 +56,10 @@
 
 @dataclass
 class ScenarioRun:
-    """One run. `program`: the controllers' `run.py`, of this source tree or another. `folder`: for logs."""
+    """One run. `program`: the controllers' `run.py`, of this source tree or another.
+
+    `folder`: for the plan, the controllers' settings, logs and histories.
+    """
 
     scenario: Scenario
     folder: Path
@@ -176,7 +179,10 @@
         raise RunFailed("idle_s could not be set through the administration API")
 
     async def _wait_and_sample(self, stage: str, seconds: float) -> None:
-        """Wait `seconds`; meanwhile sample all processes and show the progress every SAMPLE_INTERVAL_S."""
+        """Wait for `seconds`; every SAMPLE_INTERVAL_S, sample all processes and show the progress.
+
+        Raises RunFailed if a simulated process ends.
+        """
         began = sampled_at = time.monotonic()
         while (elapsed := time.monotonic() - began) < seconds:
             await trio.sleep(min(c.SAMPLE_INTERVAL_S, seconds - elapsed))
@@ -190,7 +196,7 @@
             sampled_at = now
 
     async def _start_measuring(self) -> None:
-        """Reset the figures of all processes; last, the users begin to submit jobs."""
+        """Reset the figures of all processes, then let the users begin to submit jobs."""
         await control.send_to_all(self._network, self._host_addresses, control.START_MEASURING_PATH)
         await control.send(self._network, self.addresses.cloud(), control.START_MEASURING_PATH)
         for process in self._all_processes():
@@ -199,7 +205,7 @@
         await control.send(self._network, self.addresses.users(), control.START_MEASURING_PATH)
 
     async def _leader(self) -> str:
-        """Name of the leader according to the first controller that names one; "" if none does."""
+        """Name of the leader according to the first controller that states one; "" if none does."""
         for index in range(self.scenario.controllers):
             try:
                 _, view = await self._network.request(self.addresses.controller_peers(index), "GET", "/admin/view")
@@ -263,9 +269,9 @@
     # --- result -----------------------------------------------------------------------------------
 
     async def _collect_result(self, length_s: float, machine_share: float) -> Result:
-        """Collect the figures of all processes, stop these, and evaluate the history.
+        """Collect the figures of all processes, stop the processes, and evaluate the history.
 
-        `length_s`: how long it was measured; `machine_share`: share of all cores that was busy meanwhile.
+        `length_s`: duration of the measurement. `machine_share`: share of all cores that was busy meanwhile.
         """
         for process in self._all_processes():
             process.update_usage()
@@ -316,7 +322,7 @@
         )  # fmt: skip
 
     def _process_results(self, hosts: WorkerHostStatistics, length_s: float) -> list[ProcessResult]:
-        """Figures of each process. A controller that was seen to lead at any time has the role of a leader."""
+        """Figures of each process. A controller that was seen to lead at any time has the role `leader`."""
         leaders = set(self._observed_leaders) - {""}
         found = []
         for process in self._all_processes():
--- a/pepperlatch/scale/scenario.py
+++ b/pepperlatch/scale/scenario.py
@@ -79,7 +79,7 @@
     """A class of jobs that users submit: `per_minute` at random, and `at_start` within the first second.
 
     `shape`: a sweep has tasks that complete, after `run_s` on average; a daemon is a service. Gangs are not supported:
-    their tasks would have to find each other across worker host processes. `images`: number of different images of the
+    their tasks would have to find each other across worker host processes. `images`: number of different images in the
     class. `cancelled_share`: share of the jobs that their users cancel, within `run_s`.
     """
 
--- a/pepperlatch/scale/services.py
+++ b/pepperlatch/scale/services.py
@@ -18,7 +18,7 @@
 
 
 class ServicesProcess:
-    """Serves both services, and passes on to the worker hosts which machines the cloud boots and takes back."""
+    """Serves both services, and tells the worker hosts which machines the cloud boots and takes back."""
 
     def __init__(self, plan: control.Plan) -> None:
         self._addresses = Addresses(plan.port)
--- a/pepperlatch/scale/users.py
+++ b/pepperlatch/scale/users.py
@@ -1,4 +1,4 @@
-"""The process of simulated users and operators: they submit, retry, poll, cancel and change settings as in PROTOCOL."""
+"""The process of simulated users and operators, who submit, retry, poll, cancel and change settings as in PROTOCOL."""
 
 import random
 import time
@@ -85,7 +85,7 @@
 
 
 class User:
-    """The owner of one job, who submits it, may cancel it and polls it to its end; all answers go into the history."""
+    """A user with one job, who submits it, may cancel it and polls it to its end. The history gets all answers."""
 
     def __init__(self, users: "Users", spec: wire.JobSpec, cancel_after_s: float | None) -> None:
         self._users = users
@@ -124,14 +124,14 @@
             await trio.sleep(max(MIN_RETRY_PAUSE_S, min(MAX_RETRY_AFTER_S, answer.retry_after_s)))
         return False
 
-    async def _send_once(self, request: str, method: str, path: str, body: Any, seconds: float) -> UserAnswer:
-        """Send one request over a connection of its own, and record the answer. `seconds`: time limit."""
+    async def _send_once(self, request: str, method: str, path: str, body: Any, timeout_s: float) -> UserAnswer:
+        """Send one request over a connection of its own, and record the answer."""
         asked_at = time.monotonic()
         controller_index = self._users.balancer.acquire_controller()
         network = HttpNetwork(1)
         try:
             status, retry_after, answer = await network.request_with_retry_after(
-                self._users.balancer.address(controller_index), method, path, body, seconds
+                self._users.balancer.address(controller_index), method, path, body, timeout_s
             )
             state = answer.get("status") if isinstance(answer, dict) and status in (200, 201) else None
             user_answer = UserAnswer(status, state, float(retry_after or 0))
@@ -239,9 +239,9 @@
     # --- settings ---------------------------------------------------------------------------------
 
     async def _change_settings(self) -> None:
-        """Change a setting at the scenario's rate, and count changes that are not shown everywhere in time.
+        """Change a setting at the scenario's rate; runs until cancelled.
 
-        A change that is not in force everywhere within SETTINGS_TIMEOUT_S is given up.
+        A change that is not in force everywhere within SETTINGS_TIMEOUT_S is given up and counted as failed.
         """
         change_count = 0
         while True:
--- a/pepperlatch/scale/worker_host.py
+++ b/pepperlatch/scale/worker_host.py
@@ -53,7 +53,7 @@
         self._network.close()
 
     def machine_changed(self) -> None:
-        """To be called after a change to `machine`: looks for due work again, and reports at once if needed."""
+        """Check again which work is due, and report at once if needed. Must be called after a change to `machine`."""
         self._work_changed.set()
         if self.machine.changed:
             self._report_wanted.set()
@@ -63,7 +63,7 @@
     async def _run_due_work(self) -> None:
         """Let images arrive and tasks complete when they are due, and expire the lease; runs until cancelled.
 
-        A machine that hangs does no work until it resumes; one that is only cut off goes on.
+        A machine that hangs does no work until it resumes; one that is only cut off works on.
         """
         while True:
             self._work_changed = trio.Event()
@@ -106,9 +106,9 @@
     async def _send_report(self, sent_at: float) -> float:
         """Send one report; returns the seconds to wait before the next one, 0 for the usual interval.
 
-        An answer that is late, or comes while the machine is paused, is dropped; the next report goes to the same
-        controller. So it does after a 200. After a 421 it goes to the controller that this names, and otherwise to the
-        next controller by index.
+        An answer that is late, or comes while the machine is paused, is dropped. After a dropped answer or a 200, the
+        next report goes to the same controller; after a 421, to the other controller that the answer names; otherwise,
+        to the next controller by index.
         """
         controller_index, session, body = self._controller_index, self.machine.session, self.machine.report()
         self.machine.changed = False
@@ -142,7 +142,7 @@
     # --- commands ---------------------------------------------------------------------------------
 
     async def _handle_commands(self, request: Request) -> Response:
-        """Answer commands and inspections; those that come while it hangs or is cut off wait until it resumes."""
+        """Answer commands and inspections; while the machine hangs or is cut off, they wait until it resumes."""
         await self._wait_while_paused()
         now = time.monotonic()
         self.machine.expire_lease(now)
@@ -201,7 +201,7 @@
         return worker in self._hanging
 
     def record_answer(self, controller_index: int, status: int, seconds: float, body: Any, answer: Any) -> None:
-        """Count a report and its answer. `status`: 0 if it did not answer."""
+        """Count a report and its answer. `status`: 0 if the controller did not answer."""
         self.statistics.answers[f"{controller_index} {status}"] += 1
         self.statistics.traffic["reports"] += 1
         self.statistics.traffic["bytes of reports"] += len(orjson.dumps(body))
@@ -279,7 +279,7 @@
         return {}
 
     def _pause(self, worker: Worker, seconds: float, hangs: bool) -> None:
-        """Stop the machine's traffic for so long and, if it hangs, its work.
+        """Stop the machine's traffic for `seconds` and, if it hangs, its work.
 
         Leases that expire up to two lease times after that count as explained by the trouble.
         """
