--- a/tests/console/helpers.py
+++ b/tests/console/helpers.py
@@ -15,12 +15,12 @@
 
 
 def console_extension(core: ExtensionContext) -> Console:
-    """The extension with a constant CPU clock, so that tests on the virtual clock don't depend on real time."""
+    """The extension with a constant processor time, so that tests on the virtual clock don't depend on real time."""
     return Console(core, features.Console(on=True, metrics=True), lambda: 0.0)
 
 
 async def get_console(world: World, index: int, path: str) -> Answer:
-    """One request on the operators' listener of the node `index`."""
+    """Send one request to the operators' listener of the node with this index."""
     return await world.send("admin", f"10.0.0.{index}:2", "GET", f"/console/{path}", None, 5.0)
 
 
--- a/tests/console/measure.py
+++ b/tests/console/measure.py
@@ -1,8 +1,8 @@
 """Measures the view; not part of the tests: `python -m tests.console.measure [JOBS [MACHINES]]`.
 
 Runs one controller under the real clock with the in-memory state service, its operators' listener on loopback, JOBS
-jobs of three tasks, and as many machines as the cloud has. Prints: bytes a second of one console and of 50 consoles,
-the leader's processor time of a first snapshot, of each answer of changes and in all, its memory, and the time to
+jobs of three tasks, and as many machines as the cloud has. Prints the bytes a second of one console, how often it and
+50 consoles are stale, the leader's processor time in each phase and for each answer, its memory, and the time to
 render the report.
 """
 
@@ -29,28 +29,31 @@
 from pepperlatch.protocol.http.server import Server
 
 HOST, PORT = "127.0.0.1", 18981
-SETTLE_S, LOOK_S, VIEWERS = 40.0, 30.0, 50
-made: list[Console] = []
+SETTLE_S, MEASURE_S, CONSOLES = 40.0, 30.0, 50
+created: list[Console] = []
 
 
 def console_extension(core: Any) -> Console:
-    made.append(Console(core, features.Console(on=True)))
-    return made[-1]
+    created.append(Console(core, features.Console(on=True)))
+    return created[-1]
 
 
-def roomy_settings(index: int, *rest: Any) -> Any:
-    settings = narrow_settings(index, *rest)
+def settings_with_high_quotas(index: int, *rest: Any) -> Any:
+    settings = original_settings_of(index, *rest)
     for team in settings.params.teams:
         team.cpus_max = 1e6
     return settings
 
 
 fakes.REPORT_S = 8.0  # s; 600 workers share this process and together report as often as 150 would
-narrow_settings, fakes.settings_of = fakes.settings_of, roomy_settings
+original_settings_of, fakes.settings_of = fakes.settings_of, settings_with_high_quotas
 
 
 def viewer(tries: int = 3) -> tuple[HttpNetwork, ViewCopy]:
-    """Requests like the command line's: repeated after Retry-After. `tries`: 30 for phases that wait up to a minute."""
+    """A view copy that repeats its requests after Retry-After, as the command line does.
+
+    `tries`: 30 for phases that wait up to a minute.
+    """
     network = HttpNetwork(8, gzip=True)
 
     async def ask(method: str, path: str) -> tuple[int, Any]:
@@ -73,7 +76,7 @@
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
 
-def described(number: int) -> dict[str, Any]:
+def job_with_realistic_id(number: int) -> dict[str, Any]:
     """A job with a random-looking id, as users choose them: similar ids would compress too well."""
     digits = hashlib.blake2b(str(number).encode(), digest_size=6).hexdigest()
     urgency = ("urgent", "standard")[number % 2]
@@ -85,7 +88,7 @@
         world = fakes.World(nursery, 1, parts=(console_extension,))
         world.cloud.capacity.update({zone: machines // 3 for zone in fakes.ZONES})
         for number in range(jobs):
-            body = described(number)
+            body = job_with_realistic_id(number)
             world.jobs[body["name_id"]] = body
             world.observer.done_tasks[body["name_id"]] = set()
             spec = wire.convert(body, wire.JobSpec)
@@ -98,9 +101,9 @@
         up = sum(worker.up for worker in world.workers)
         print(
             f"{jobs} jobs of 3 tasks, {up} machines up, "
-            f"history {made[0]._leader_and_recorder[1].history.size() / 1e6:.2f} MB"
+            f"history {created[0]._leader_and_recorder[1].history.size() / 1e6:.2f} MB"
         )
-        costs = timed(made[0])
+        costs = record_answer_costs(created[0])
         for phase in PHASES:
             costs.clear()
             began, before_mb = trio.current_time(), resident_mb()
@@ -112,15 +115,15 @@
         nursery.cancel_scope.cancel()
 
 
-def timed(console: Console) -> list[float]:
-    """Collects the processor time, in s, of each call that answers a request from the model or the cache."""
+def record_answer_costs(console: Console) -> list[float]:
+    """The list to which each call that answers a request from the model or the cache adds its processor time, in s."""
     view_service, costs = console._get_view_service(), []
-    own = view_service._answer_from_model
+    original = view_service._answer_from_model
 
-    def measured(*asked: Any) -> Any:
+    def measured(*arguments: Any) -> Any:
         began = time.process_time()
         try:
-            return own(*asked)
+            return original(*arguments)
         finally:
             costs.append(time.process_time() - began)
 
@@ -131,7 +134,7 @@
 # --- viewers, each phase in a process of its own ----------------------------------------------------
 
 
-async def snapshot() -> None:
+async def first_snapshot() -> None:
     network, view_copy = viewer(30)
     at = trio.current_time()
     await view_copy.load_complete()
@@ -141,49 +144,50 @@
     )
 
 
-async def console() -> None:
+async def one_console() -> None:
     network, view_copy = viewer()
     await view_copy.load_snapshot()
     received = network.received_bytes
     poller = Poller(view_copy, Selection(view_copy.query), lambda view_state: None)
-    behind, stale, tries = await looked(poller, LOOK_S)
-    print(f"one console for {LOOK_S:.0f} s: {(network.received_bytes - received) / LOOK_S:.0f} bytes/s,", end=" ")
-    print(f"behind in {behind} and stale in {stale} of {tries} looks")
+    behind, stale, polls = await poll_for(poller, MEASURE_S)
+    print(f"one console for {MEASURE_S:.0f} s: {(network.received_bytes - received) / MEASURE_S:.0f} bytes/s,", end=" ")
+    print(f"behind in {behind} and stale in {stale} of {polls} polls")
 
 
-async def crowd() -> None:
+async def many_consoles() -> None:
     found: list[tuple[int, int, int]] = []
 
     async def one(after: float) -> None:
         await trio.sleep(after)
         view_copy = viewer()[1]
-        found.append(await looked(Poller(view_copy, Selection(view_copy.query), lambda view_state: None), LOOK_S))
+        found.append(await poll_for(Poller(view_copy, Selection(view_copy.query), lambda view_state: None), MEASURE_S))
 
     async with trio.open_nursery() as nursery:
-        for number in range(VIEWERS):
+        for number in range(CONSOLES):
             nursery.start_soon(one, number / 10)
-    _, stale, tries = (sum(numbers) for numbers in zip(*found, strict=True))
-    print(f"{VIEWERS} consoles for {LOOK_S:.0f} s: stale in {stale} of {tries} looks")
+    _, stale, polls = (sum(numbers) for numbers in zip(*found, strict=True))
+    print(f"{CONSOLES} consoles for {MEASURE_S:.0f} s: stale in {stale} of {polls} polls")
 
 
-async def looked(poller: Poller, seconds: float) -> tuple[int, int, int]:
-    behind = stale = tries = 0
+async def poll_for(poller: Poller, seconds: float) -> tuple[int, int, int]:
+    """Poll for so many seconds; how many polls were behind, how many stale, and how many there were."""
+    behind = stale = polls = 0
     with trio.move_on_after(seconds):
         while True:
             view_state = await poller.poll_once()
-            tries, behind, stale = tries + 1, behind + view_state.behind, stale + bool(view_state.stale)
+            polls, behind, stale = polls + 1, behind + view_state.behind, stale + bool(view_state.stale)
             await trio.sleep(c.CONSOLE_POLL_INTERVAL_S)
-    return behind, stale, tries
+    return behind, stale, polls
 
 
-async def page() -> None:
+async def report_page() -> None:
     content = await report.gather(viewer(30)[1])
     began = time.process_time()
     text = report.render(content, None)
     print(f"report: {len(content.rows)} jobs, {len(text.encode()) / 1e6:.2f} MB, {time.process_time() - began:.2f} s")
 
 
-PHASES = {"snapshot": snapshot, "console": console, "crowd": crowd, "page": page}
+PHASES = {"snapshot": first_snapshot, "console": one_console, "consoles": many_consoles, "report": report_page}
 
 if __name__ == "__main__":
     if len(sys.argv) == 2 and sys.argv[1] in PHASES:
--- a/tests/console/pictures.py
+++ b/tests/console/pictures.py
@@ -1,7 +1,7 @@
 """Draws the pictures in docs/images: `python -m tests.console.pictures DIR`. Not part of the tests.
 
-Simulates a day with failures in memory. The console is drawn by its own library; the report is written as HTML (any
-browser makes a picture of it: `chromium --headless --screenshot`).
+Simulates a cluster whose leader dies, in memory. The console's library draws the console; the report is written as HTML
+(any browser makes a picture of it: `chromium --headless --screenshot`).
 """
 
 import asyncio
@@ -22,8 +22,8 @@
 ZONE = ZoneInfo("Asia/Amman")
 
 
-def scene(views: tuple[str, ...]) -> tuple[dict[str, ViewState], report.Content]:
-    """What a viewer sees after a leader died, in each view, and the report's content."""
+def simulate(views: tuple[str, ...]) -> tuple[dict[str, ViewState], report.Content]:
+    """What a viewer sees in each view after a leader has died, and the report's content."""
     found: dict[str, ViewState] = {}
     contents: list[report.Content] = []
 
@@ -34,11 +34,11 @@
         world.kill(world.leader())
         await wait_for_leader(world)
         await trio.sleep(35.0)
-        waiting = "run-000005"
+        waiting_job = "run-000005"
         for view in views:
             view_copy = view_copy_of(world, Query(state="unfinished"))
             found[view] = await Poller(
-                view_copy, Selection(view_copy.query, view, waiting), lambda view_state: None
+                view_copy, Selection(view_copy.query, view, waiting_job), lambda view_state: None
             ).poll_once()
         contents.append(await report.gather(view_copy_of(world)))
 
@@ -56,13 +56,13 @@
 
 def main(folder: Path) -> None:
     folder.mkdir(parents=True, exist_ok=True)
-    moments, content = scene(("overview", "jobs", "job", "machines"))
-    for view, view_state in moments.items():
+    view_states, content = simulate(("overview", "jobs", "job", "machines"))
+    for view, view_state in view_states.items():
         asyncio.run(draw(view_state, view, (120, 30), folder / f"console-{view}.svg"))
-    asyncio.run(draw(moments["jobs"], "jobs", (80, 24), folder / "console-narrow.svg"))
+    asyncio.run(draw(view_states["jobs"], "jobs", (80, 24), folder / "console-narrow.svg"))
     (folder / "report.html").write_text(report.render(content, ZONE), "utf-8")
 
 
 if __name__ == "__main__":
-    where: list[Any] = sys.argv[1:]
-    main(Path(where[0] if where else "docs/images"))
+    arguments: list[Any] = sys.argv[1:]
+    main(Path(arguments[0] if arguments else "docs/images"))
--- a/tests/console/test_history.py
+++ b/tests/console/test_history.py
@@ -1,4 +1,7 @@
-"""Time lines stay within bounds, show what was left out, and can be continued by the next leader; costs; recoveries."""
+"""Time lines stay within bounds, show what was left out, and can be continued by the next leader.
+
+Costs add up, and recoveries are counted.
+"""
 
 import tracemalloc
 import zlib
@@ -22,8 +25,8 @@
 BASE = 1_000_000.0
 
 
-def day(history: History, jobs: int) -> None:
-    """Add what a leader records of `jobs` jobs, ten records each."""
+def add_jobs(history: History, jobs: int) -> None:
+    """Add the events that a leader records of `jobs` jobs, ten for each."""
     for number in range(jobs):
         at, name = BASE + number * 2.0, f"run-{number:08d}"
         history.add(name, EventKind.ACCEPTED, at)
@@ -36,14 +39,14 @@
         history.add(name, EventKind.OVER, at + 50, "done")
 
 
-def test_time_lines_stay_within_their_memory_budget_and_count_what_was_dropped() -> None:
+def test_time_lines_stay_within_their_memory_limit_and_count_what_was_dropped() -> None:
     history = History(BASE)
     tracemalloc.start()
-    day(history, 22_000)
-    held = tracemalloc.get_traced_memory()[0]
+    add_jobs(history, 22_000)
+    used = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     assert history.size() <= c.MAX_HISTORY_BYTES
-    assert held <= 1.1 * c.MAX_HISTORY_BYTES, "what it says of its size is what it takes"
+    assert used <= 1.1 * c.MAX_HISTORY_BYTES, "more memory is used than size() tells"
     assert history.dropped > 0 and len(history) + history.dropped == 22_000
     assert history.timeline("run-00021999") and not history.timeline("run-00000000")  # the oldest was dropped
 
@@ -68,7 +71,7 @@
 
 def test_next_leader_continues_saved_time_lines_and_marks_the_gap() -> None:
     old, new = History(BASE), History(BASE - 1000)
-    day(old, 3)
+    add_jobs(old, 3)
     old.add("run-w", EventKind.ACCEPTED, BASE)
     old.add("run-w", EventKind.REASON, BASE + 3, "team limit: red uses 32 of 32 CPUs")
     packed = old.pack(BASE + 60, 10_000, ["run-w"])
@@ -88,7 +91,7 @@
 
 def test_a_save_holds_what_fits_with_waiting_jobs_first() -> None:
     history = History(BASE)
-    day(history, 2000)
+    add_jobs(history, 2000)
     for number in range(50):
         history.add(f"run-w{number}", EventKind.REASON, BASE + 5000, f"reason {number}")
     waiting = [f"run-w{number}" for number in range(50)]
@@ -103,14 +106,14 @@
     history = History(BASE)
     history.add("run-1", EventKind.READY, BASE + 1)
     before = history.timeline("run-1")
-    whole = History(BASE)
-    day(whole, 5)
-    packed = whole.pack(BASE + 60, 10_000, [])
+    saved = History(BASE)
+    add_jobs(saved, 5)
+    packed = saved.pack(BASE + 60, 10_000, [])
     later = SavedHistory(2, BASE, BASE, [""], [""], {})
-    other = zlib.compress(msgspec.msgpack.encode(later))
-    for damaged in (other, b"", b"nonsense", packed[: len(packed) // 2], packed[:20] + b"\0" + packed[21:]):
+    later_version = zlib.compress(msgspec.msgpack.encode(later))
+    for unreadable in (later_version, b"", b"nonsense", packed[: len(packed) // 2], packed[:20] + b"\0" + packed[21:]):
         with pytest.raises(UnreadableHistory):
-            history.merge_saved(damaged, BASE + 60)
+            history.merge_saved(unreadable, BASE + 60)
         assert history.timeline("run-1") == before == [Event(BASE + 1, "ready")]
 
 
--- a/tests/console/test_terminal_and_report.py
+++ b/tests/console/test_terminal_and_report.py
@@ -29,7 +29,7 @@
 
 
 class Page(HTMLParser):
-    """Parses a report: open tags, wrong tags and attributes, texts of rows, scripts, and anything that is fetched."""
+    """Parses a report: open tags, wrong tags and attributes, texts of rows, scripts, and resources that it fetches."""
 
     def __init__(self, text: str) -> None:
         super().__init__()
@@ -65,8 +65,8 @@
 
 def row(number: int, **changes: Any) -> JobRow:
     plain = {"team": "red", "job_class": "x", "kind": "sweep", "priority": "standard", "state": "queued", "tasks": 4}
-    said = {"why": "team-limit", "text": "team limit: red uses 32 of 32 CPUs", "at": 1e9 - 500, "since": 1e9 - 400}
-    return JobRow(f"run-{number:06d}", **{**plain, **said, "waiting": 4, **changes})
+    reason = {"why": "team-limit", "text": "team limit: red uses 32 of 32 CPUs", "at": 1e9 - 500, "since": 1e9 - 400}
+    return JobRow(f"run-{number:06d}", **{**plain, **reason, "waiting": 4, **changes})
 
 
 def content(rows: list[JobRow]) -> report.Content:
@@ -74,7 +74,7 @@
     return report.Content(HEAD, rows, {"states": {"queued": len(rows)}, "waits": waits})
 
 
-def run_story(scenario: Callable[[World], Awaitable[None]]) -> None:
+def run_with_console(scenario: Callable[[World], Awaitable[None]]) -> None:
     run_scenario(scenario, parts=(console_extension,))
 
 
@@ -86,20 +86,20 @@
             await world.submit(one)
         await trio.sleep(20.0)
         view_copy = view_copy_of(world)
-        found["shown"] = await Poller(
+        found["view_state"] = await Poller(
             view_copy, Selection(view_copy.query, "jobs"), lambda view_state: None
         ).poll_once()
         found["content"] = await report.gather(view_copy)
 
-    run_story(scenario)
-    view_state, page = found["shown"], Page(report.render(found["content"], ZONE))
+    run_with_console(scenario)
+    view_state, page = found["view_state"], Page(report.render(found["content"], ZONE))
     by_page = {cells[0]: cells for cells in page.rows if cells and cells[0].startswith("run-")}
     by_console = {cells[0]: cells for cells in terminal_rows(view_state, (140, 40))}
     assert len(by_console) == len(view_state.rows) >= 11
     for each in view_state.rows:
-        words = formatting.reason_text(each, view_state.now)
-        assert by_console[each.id][4] == words == formatting.job_cells(each, view_state.now)[4]
-        assert by_page[each.id][-1] == words and by_page[each.id][4] == each.state
+        reason = formatting.reason_text(each, view_state.now)
+        assert by_console[each.id][4] == reason == formatting.job_cells(each, view_state.now)[4]
+        assert by_page[each.id][-1] == reason and by_page[each.id][4] == each.state
 
 
 def terminal_rows(view_state: ViewState, size: tuple[int, int]) -> list[list[str]]:
@@ -143,7 +143,7 @@
 
 
 def test_each_bar_has_its_own_marks() -> None:
-    """Guards against drawing every team's guarantee mark on the first team's bar."""
+    """Guards against every team's guarantee being marked on the first team's bar."""
     names = ("cpus", "cpus_guaranteed", "cpus_limit", "gpus", "gpus_guaranteed", "gpus_limit", "cpus_unseen")
     teams = [{"name": name, **dict.fromkeys(names, 8.0)} for name in ("red", "blue")]
     page_content = content([row(1)])
@@ -164,10 +164,10 @@
 
 def test_the_console_works_at_80_by_24_without_colour(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("NO_COLOR", "1")
-    wanted: list[Selection] = []
+    selections: list[Selection] = []
 
     async def run() -> None:
-        app = ConsoleApp(wanted.append, ZONE)
+        app = ConsoleApp(selections.append, ZONE)
         async with app.run_test(size=(80, 24)) as pilot:
             await pilot.press("2")
             rows = [row(n) for n in range(2 * c.MAX_TERMINAL_ROWS)]
@@ -184,11 +184,11 @@
             assert str(app.query_one("#reason").render()) == "team limit: red uses 32 of 32 CPUs"
             await pilot.press("slash", *"team:red why:team-limit 12", "enter")
             await pilot.pause()
-            assert wanted[-1].query == parse_filter("team:red why:team-limit 12")
+            assert selections[-1].query == parse_filter("team:red why:team-limit 12")
             table.focus()
             await pilot.press("enter")
             await pilot.pause()
-            assert wanted[-1].view == "job" and wanted[-1].job == table.current_key()
+            assert selections[-1].view == "job" and selections[-1].job == table.current_key()
             line = [{"at": 1e9 - 400, "what": "reason", "text": "no room"}, {"at": 1e9 - 100, "what": "over"}]
             app.show(
                 view_state_of(rows, detail={"line": line, "state": "queued", "changes_when": "soon", "order": None})
@@ -197,13 +197,13 @@
             assert str(app.query_one("#table-job", Table).get_row_at(0)[1]) == "5 min"
             for key in "1456":
                 await pilot.press(key)
-            assert wanted[-1].view == "events" and wanted[-1].query.team == "red"  # the filter is kept
+            assert selections[-1].view == "events" and selections[-1].query.team == "red"  # the filter is kept
 
     asyncio.run(run())
 
 
 def test_the_console_and_its_poller_run_in_separate_threads() -> None:
-    """Guards against a poller that updates before the screen exists: it ended, and the console no longer changed."""
+    """Guards against a poller that updates before the screen exists: it ended silently, and the console stood still."""
     asked: list[str] = []
 
     async def ask(method: str, path: str) -> tuple[int, Any]:
@@ -263,7 +263,7 @@
 def test_the_command_line_prints_and_writes_what_the_service_shows(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
-    from pepperlatch.command import console as face
+    from pepperlatch.command import console as console_command
 
     answers: dict[str, Any] = {
         "jobs": {**HEAD, "source": "leader", "jobs": [], "next": "", "pending": 0},
@@ -273,14 +273,14 @@
     }
     answers["jobs"]["jobs"] = [{**msgspec.to_builtins(row(1)), "a_later_field": 1}]
 
-    def asking(talk: Any, timeout_s: float, say: Any) -> Any:
+    def request_function(client: Any, timeout_s: float, report_retry: Any) -> Any:
         async def ask(method: str, path: str) -> tuple[int, Any]:
             name = path.removeprefix("/console/").partition("?")[0]
             return (200, answers[name]) if name in answers else (200, {"line": [], "state": "queued", "order": None})
 
         return ask
 
-    monkeypatch.setattr(face, "_request_function", asking)
+    monkeypatch.setattr(console_command, "_request_function", request_function)
     node = ["--node", "127.0.0.1:1"]
     assert cli.main(["console", *node, "--once", "team:red"]) == 0
     printed = capsys.readouterr()
@@ -312,7 +312,7 @@
 
     async def scenario(world: World) -> None:
         for number in range(0, 5000, 20):
-            await submitted(world, range(number, number + 20))
+            await submit_all(world, range(number, number + 20))
         await world.submit(job(9_999, urgency="urgent", crew="blue"))
         view_copy = view_copy_of(world, Query(state="unfinished", page=1000, most=c.MAX_CONSOLE_ANSWER_BYTES))
         await view_copy.load_complete()
@@ -322,7 +322,7 @@
         await urgent.load_snapshot()
         assert [each.id for each in urgent.rows.values()] == ["run-009999"]
 
-    async def submitted(world: World, numbers: range) -> None:
+    async def submit_all(world: World, numbers: range) -> None:
         async with trio.open_nursery() as nursery:
             for number in numbers:
                 nursery.start_soon(world.submit, job(number, pieces=3, expected_s=300.0))
--- a/tests/console/test_view.py
+++ b/tests/console/test_view.py
@@ -44,9 +44,8 @@
     compared = 0
     view_copy = view_copy_of(world)
     for moment in range(moments):
-        await trio.sleep(
-            c.MIN_TEXT_REFRESH_S + c.MIN_REFRESH_INTERVAL_S + 0.37 * moment
-        )  # numbers alone may be shown this late
+        # A text with new numbers alone may be shown this late.
+        await trio.sleep(c.MIN_TEXT_REFRESH_S + c.MIN_REFRESH_INTERVAL_S + 0.37 * moment)
         before = core_reasons(world)
         await view_copy.load_complete()
         await view_copy.apply_changes()
@@ -74,16 +73,16 @@
         world.state.down, world.cloud.down = False, True
         assert await compare_with_core(world, 2) >= 4
         world.cloud.down = False
-        words = ViewModel._reason_text
+        original = ViewModel._reason_text
         try:  # the comparison notices a changed text
-            ViewModel._reason_text = lambda model, reason: words(model, reason) + "."  # type: ignore[method-assign]
+            ViewModel._reason_text = lambda model, reason: original(model, reason) + "."  # type: ignore[method-assign]
             leader_of(world).cluster.listener.explained(
                 next(job for job in leader_of(world).cluster.jobs.values() if not job.over), trio.current_time()
             )
             with pytest.raises(AssertionError):
                 await compare_with_core(world, 1)
         finally:
-            ViewModel._reason_text = words  # type: ignore[method-assign]
+            ViewModel._reason_text = original  # type: ignore[method-assign]
 
     run_scenario(scenario, parts=(console_extension,))
 
@@ -145,7 +144,7 @@
                 break
         fresh = view_copy_of(world)
         await fresh.load_snapshot()
-        assert behind > 0, "an answer was cut to its size"
+        assert behind > 0, "no answer was cut to its maximum size"
         assert view_copy.rows == fresh.rows and len(fresh.rows) >= 3
 
     run_scenario(scenario, parts=(console_extension,))
@@ -175,7 +174,10 @@
 
 
 def test_a_snapshot_interrupted_by_a_change_of_leader_is_restarted() -> None:
-    """Guards against joining pages from the records and from a new leader with few rows, which lost 4 of 5 jobs."""
+    """Guards against combining a page from the records with one from a new leader that has few rows.
+
+    Four of five jobs were missing from the snapshot.
+    """
 
     async def scenario(world: World) -> None:
         for one in mixed_workload():
@@ -207,15 +209,15 @@
         await trio.sleep(10.0)
         leader = world.leader()
         other = next(index for index in world.nodes if index != leader)
-        status, passed_on = await get_console(world, other, "jobs")
-        assert status == 200 and (passed_on["source"], passed_on["node"]) == ("leader", NODES[other])
+        status, forwarded = await get_console(world, other, "jobs")
+        assert status == 200 and (forwarded["source"], forwarded["node"]) == ("leader", NODES[other])
         world.cut(NODES[leader], NODES[other], "refuse")
         status, own = await get_console(world, other, "jobs")
         assert status == 200 and own["source"] == "records" and NODES[leader] in own["why"]
-        assert {row["id"] for row in own["jobs"]} == {row["id"] for row in passed_on["jobs"]}
-        texts = {row["id"]: row["text"] for row in passed_on["jobs"]}
+        assert {row["id"] for row in own["jobs"]} == {row["id"] for row in forwarded["jobs"]}
+        texts = {row["id"]: row["text"] for row in forwarded["jobs"]}
         same = [row for row in own["jobs"] if row["text"] == texts[row["id"]]]
-        assert len(same) >= 5, "what the leader told last is still known"
+        assert len(same) >= 5, "the follower has lost what the leader reported last"
         assert (await get_console(world, other, "machines"))[0] == 503
 
     run_scenario(scenario, parts=(console_extension,))
@@ -232,10 +234,10 @@
         await wait_for_leader(world)
         await trio.sleep(2.0)
         _, after = await get_console(world, world.leader(), "jobs/run-000000")
-        whats = [event["what"] for event in after["line"]]
-        saved = whats.index("gap")
-        assert saved >= 3 and after["line"][:saved] == before["line"][:saved]
-        assert whats.count("accepted") == 1 and whats.count("ready") == 1
+        kinds = [event["what"] for event in after["line"]]
+        restored = kinds.index("gap")
+        assert restored >= 3 and after["line"][:restored] == before["line"][:restored]
+        assert kinds.count("accepted") == 1 and kinds.count("ready") == 1
 
     run_scenario(scenario, parts=(console_extension,))
 
@@ -264,21 +266,21 @@
     async def scenario(world: World) -> None:
         await world.submit(job(1, expected_s=400.0))
         old, serve = world.leader(), world.state.serve
-        held: list[Any] = []
+        held_requests: list[Any] = []
 
-        async def holding(source: str, method: str, path: str, body: Any) -> Any:
+        async def serve_but_hold_saves(source: str, method: str, path: str, body: Any) -> Any:
             if source == NODES[old] and path == "/txn" and PREFIX in str(body):
-                held.append(body)
+                held_requests.append(body)
                 await trio.sleep_forever()
             return await serve(source, method, path, body)
 
-        world.state.serve = holding  # type: ignore[method-assign]
-        await world.until(lambda: bool(held), 60)
+        world.state.serve = serve_but_hold_saves  # type: ignore[method-assign]
+        await world.until(lambda: bool(held_requests), 60)
         world.kill(old)
         await wait_for_leader(world)
         await trio.sleep(c.SAVE_INTERVAL_S + 8)
         saved = {key: value for key, value in world.state.keys.items() if key.startswith(PREFIX)}
-        assert saved and (await serve("late", "POST", "/txn", held[0]))[0] == 409
+        assert saved and (await serve("late", "POST", "/txn", held_requests[0]))[0] == 409
         assert saved == {key: value for key, value in world.state.keys.items() if key.startswith(PREFIX)}
 
     run_scenario(scenario, parts=(console_extension,))
@@ -305,17 +307,17 @@
 
 
 def test_viewers_stay_within_their_cpu_share_and_share_cached_answers() -> None:
-    """Viewers that use more than their CPU share get an old answer, then 503 with Retry-After."""
+    """Viewers that use more than their CPU share first get old answers, then 503 with Retry-After."""
     used = [0.0]
-    made: list[Console] = []
+    created: list[Console] = []
 
-    def costly(core: ExtensionContext) -> Console:
-        def spent() -> float:
+    def console_with_costly_answers(core: ExtensionContext) -> Console:
+        def cpu_time() -> float:
             used[0] += 0.02
             return used[0]
 
-        made.append(Console(core, features.Console(on=True), spent))
-        return made[-1]
+        created.append(Console(core, features.Console(on=True), cpu_time))
+        return created[-1]
 
     async def scenario(world: World) -> None:
         await world.submit(job(1))
@@ -329,20 +331,20 @@
         async with trio.open_nursery() as nursery:
             for _ in range(50):
                 nursery.start_soon(one)
-        assert answers == [200] * 50 and used[0] - before <= 0.1, "made once"
+        assert answers == [200] * 50 and used[0] - before <= 0.1, "the answer was made more than once"
         statuses = []
         for n in range(30):
             status, answer = await get_console(world, index, f"jobs?text={n % 3}")
             statuses.append((status, bool(answer.get("busy"))))
             await trio.sleep(0.5)
         assert (200, True) in statuses and any(status == 503 for status, _ in statuses)
-        took = used[0]
+        used_by_answers = used[0]
         await trio.sleep(40.0)
-        assert used[0] - took <= 0.01 * 40 + 0.1
+        assert used[0] - used_by_answers <= 0.01 * 40 + 0.1
         assert (await get_console(world, index, "jobs"))[0] == 200
         assert (await world.submit(job(2)))[0] == 201
 
-    run_scenario(scenario, parts=(costly,))
+    run_scenario(scenario, parts=(console_with_costly_answers,))
 
 
 def test_members_see_no_names_and_no_settings() -> None:
@@ -373,8 +375,8 @@
             assert (await ask(path))[0] in (400, 404), path
 
     run_scenario(scenario, parts=(console_extension,))
-    words = [Redactor(False, [], key).pseudonym("run-1") for key in (b"x" * 16, b"x" * 16, b"y" * 16)]
-    assert words[0] == words[1] != words[2]
+    pseudonyms = [Redactor(False, [], key).pseudonym("run-1") for key in (b"x" * 16, b"x" * 16, b"y" * 16)]
+    assert pseudonyms[0] == pseudonyms[1] != pseudonyms[2]
 
 
 def test_rows_are_built_while_the_members_listener_runs(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -387,7 +389,7 @@
 
     monkeypatch.setattr(Server, "serve", serve)
 
-    def open_(core: ExtensionContext) -> Console:
+    def console_with_members_listener(core: ExtensionContext) -> Console:
         return Console(core, features.Console(on=True, public=features.Public("127.0.0.1:1")), lambda: 0.0)
 
     async def scenario(world: World) -> None:
@@ -398,7 +400,7 @@
         console: Any = world.nodes[world.leader()].extensions._extensions[0]
         assert console._get_view_service()._current_model().pending() == 0 and set(served) == {"127.0.0.1"}
 
-    run_scenario(scenario, parts=(open_,), write_rps=1000.0)
+    run_scenario(scenario, parts=(console_with_members_listener,), write_rps=1000.0)
 
 
 def test_metrics_match_the_leaders_counts_and_name_no_job() -> None:
@@ -422,7 +424,7 @@
 
 
 def test_a_trace_holds_a_jobs_time_line_across_a_change_of_leader(caplog: pytest.LogCaptureFixture) -> None:
-    def traced(core: ExtensionContext) -> Console:
+    def console_with_traces(core: ExtensionContext) -> Console:
         return Console(core, features.Console(on=True, trace_share=1.0), lambda: 0.0)
 
     async def scenario(world: World) -> None:
@@ -432,7 +434,7 @@
         await world.until(lambda: world.state.job_state("run-000001") == "done", 90)
         await trio.sleep(1.0)
 
-    run_scenario(scenario, parts=(traced,))
+    run_scenario(scenario, parts=(console_with_traces,))
     lines = [record.getMessage() for record in caplog.records if record.name == "pepperlatch.trace"]
     spans = [orjson.loads(line) for line in lines]
     root = next(span for span in spans if span["name"] == "job")
@@ -447,9 +449,9 @@
     found = []
     for node in ("perch-0", "perch-1"):
         caplog.clear()
-        traces = JobTracer(node, 0.25)
+        tracer = JobTracer(node, 0.25)
         for number in range(400):
-            traces.export_job(f"run-{number}", line)
+            tracer.export_job(f"run-{number}", line)
         found.append([orjson.loads(record.getMessage())["attributes"]["job"] for record in caplog.records])
     assert found[0] == found[1] and 60 <= len(found[0]) <= 140
 
@@ -483,9 +485,9 @@
 
 def test_filters_match_the_named_fields() -> None:
     row = JobRow("run-1", "red", "x", "sweep", "urgent", "queued", 4, "team-limit", "team limit: red", 1.0, 2.0)
-    for taken, query in (
+    for matches, query in (
         (True, Query(team="red", why="team-limit")), (False, Query(team="blue")), (True, Query(text="LIMIT")),
         (False, Query(state="running")), (True, Query(state="unfinished", priority="urgent")),
         (False, Query(state="unfinished", priority="low")),
     ):  # fmt: skip
-        assert query.matches(row) is taken, query
+        assert query.matches(row) is matches, query
--- a/tests/scale/test_machine.py
+++ b/tests/scale/test_machine.py
@@ -87,7 +87,7 @@
 def test_report_numbers_grow_with_every_message_and_a_higher_token_causes_a_report(harness: MachineHarness) -> None:
     first = harness.machine.report()["tally"]
     assert harness.launch(1.0)[1]["tally"] == first + 1
-    assert harness.machine.changed, "the answer to a command is no report"
+    assert harness.machine.changed, "the answer to a command does not replace a report"
     harness.machine.changed = False
     harness.machine.apply_report_answer(wire.report_answer(8, []), 1, 1.0, 2.0)
     assert not harness.machine.changed  # at most once in half a lease
