--- a/pepperlatch/console/recorder.py
+++ b/pepperlatch/console/recorder.py
@@ -33,7 +33,7 @@
         self, clock: Clock, wall: Clock, accepted_at: Callable[[str], float],
         on_job_over: Callable[[str, list[Event]], None] | None = None,
     ) -> None:  # fmt: skip
-        """`clock` and `wall`: steady clock and time of day, s. `accepted_at`: a job's time of acceptance, time of day.
+        """`clock` and `wall`: steady clock and time of day, s. `accepted_at`: when a job was accepted, time of day, s.
 
         `on_job_over` is called with the id and the time line of each job that ends.
         """
