--- a/tests/console/measure.py
+++ b/tests/console/measure.py
@@ -82,7 +82,7 @@
 
 async def main(jobs: int, machines: int) -> None:
     async with trio.open_nursery() as nursery:
-        world = fakes.World(nursery, 1, parts=(console_extension,))
+        world = fakes.World(nursery, 1, extensions=(console_extension,))
         world.cloud.capacity.update({zone: machines // 3 for zone in fakes.ZONES})
         for number in range(jobs):
             body = described(number)
--- a/tests/console/pictures.py
+++ b/tests/console/pictures.py
@@ -42,7 +42,7 @@
             ).poll_once()
         contents.append(await report.gather(view_copy_of(world)))
 
-    run_scenario(scenario, parts=(console_extension,), wall_clock=lambda now: 1_796_000_000 + now)
+    run_scenario(scenario, extensions=(console_extension,), wall_clock=lambda now: 1_796_000_000 + now)
     return found, contents[0]
 
 
--- a/tests/console/test_terminal_and_report.py
+++ b/tests/console/test_terminal_and_report.py
@@ -75,7 +75,7 @@
 
 
 def run_story(scenario: Callable[[World], Awaitable[None]]) -> None:
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_terminal_report_and_plain_table_show_the_same_for_every_job() -> None:
@@ -327,4 +327,4 @@
             for number in numbers:
                 nursery.start_soon(world.submit, job(number, pieces=3, expected_s=300.0))
 
-    run_scenario(scenario, parts=(console_extension,), write_rps=2000.0)
+    run_scenario(scenario, extensions=(console_extension,), write_rps=2000.0)
--- a/tests/console/test_view.py
+++ b/tests/console/test_view.py
@@ -85,7 +85,7 @@
         finally:
             ViewModel._reason_text = words  # type: ignore[method-assign]
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_reasons_state_their_numbers() -> None:
@@ -103,7 +103,7 @@
         assert {Why.BOOTING, Why.RUNNING} <= set(texts), texts
         assert "booting, with room for" in texts[Why.BOOTING]
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_the_view_says_that_nothing_is_rented_while_the_state_service_is_away() -> None:
@@ -124,7 +124,7 @@
         assert view_copy.rows["run-000001"].why == Why.NO_RENTING
         world.state.down = False
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_applying_changes_gives_the_same_rows_as_a_snapshot() -> None:
@@ -148,7 +148,7 @@
         assert behind > 0, "an answer was cut to its size"
         assert view_copy.rows == fresh.rows and len(fresh.rows) >= 3
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_a_console_survives_a_change_of_leader_and_marks_stale_data() -> None:
@@ -171,7 +171,7 @@
         assert stale > 0 and view_copy.stale_reason() == ""
         assert view_copy.head["token"] > token and len(view_copy.rows) >= 9
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_a_snapshot_interrupted_by_a_change_of_leader_is_restarted() -> None:
@@ -197,7 +197,7 @@
         assert view_copy.head["token"] == leader_of(world).term.token
         assert asked >= 4 and {f"run-{number:06d}" for number in (*range(8), 20, 21, 22, 23)} == set(view_copy.rows)
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_a_follower_cut_off_from_the_leader_shows_its_records_and_says_so() -> None:
@@ -218,7 +218,7 @@
         assert len(same) >= 5, "what the leader told last is still known"
         assert (await get_console(world, other, "machines"))[0] == 503
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_time_lines_survive_a_change_of_leader() -> None:
@@ -237,7 +237,7 @@
         assert saved >= 3 and after["line"][:saved] == before["line"][:saved]
         assert whats.count("accepted") == 1 and whats.count("ready") == 1
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_an_incomplete_or_unknown_save_is_ignored_and_the_previous_one_restored() -> None:
@@ -257,7 +257,7 @@
         _, after = await get_console(world, world.leader(), "jobs/run-000001")
         assert "gap" in [event["what"] for event in after["line"]][3:]
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_a_late_save_of_an_earlier_leader_is_refused() -> None:
@@ -281,7 +281,7 @@
         assert saved and (await serve("late", "POST", "/txn", held[0]))[0] == 409
         assert saved == {key: value for key, value in world.state.keys.items() if key.startswith(PREFIX)}
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
     mixed = {0: Piece(1, 2, 2, "aaaa"), 1: Piece(1, 1, 2, "bbbb")}
     assert _assemble_save(0, mixed) is None and _assemble_save(0, {**mixed, 1: Piece(1, 2, 2, "bbbb")}) is not None
 
@@ -301,7 +301,7 @@
         await fresh.load_snapshot()
         assert set(view_copy.rows) == set(fresh.rows) and len(fresh.rows) == 12
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_viewers_stay_within_their_cpu_share_and_share_cached_answers() -> None:
@@ -342,7 +342,7 @@
         assert (await get_console(world, index, "jobs"))[0] == 200
         assert (await world.submit(job(2)))[0] == 201
 
-    run_scenario(scenario, parts=(costly,))
+    run_scenario(scenario, extensions=(costly,))
 
 
 def test_members_see_no_names_and_no_settings() -> None:
@@ -372,7 +372,7 @@
         for path in ("/console/machines", "/console/jobs/run-000001", "/admin/settings", "/console/jobs?text=run-0"):
             assert (await ask(path))[0] in (400, 404), path
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
     words = [Redactor(False, [], key).pseudonym("run-1") for key in (b"x" * 16, b"x" * 16, b"y" * 16)]
     assert words[0] == words[1] != words[2]
 
@@ -398,7 +398,7 @@
         console: Any = world.nodes[world.leader()].extensions._extensions[0]
         assert console._get_view_service()._current_model().pending() == 0 and set(served) == {"127.0.0.1"}
 
-    run_scenario(scenario, parts=(open_,), write_rps=1000.0)
+    run_scenario(scenario, extensions=(open_,), write_rps=1000.0)
 
 
 def test_metrics_match_the_leaders_counts_and_name_no_job() -> None:
@@ -418,7 +418,7 @@
         _, text = await world.send("admin", f"10.0.0.{other}:2", "GET", "/metrics", None, 5.0)
         assert "pepperlatch_leads 0.0" in text and "pepperlatch_jobs" not in text
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_a_trace_holds_a_jobs_time_line_across_a_change_of_leader(caplog: pytest.LogCaptureFixture) -> None:
@@ -432,7 +432,7 @@
         await world.until(lambda: world.state.job_state("run-000001") == "done", 90)
         await trio.sleep(1.0)
 
-    run_scenario(scenario, parts=(traced,))
+    run_scenario(scenario, extensions=(traced,))
     lines = [record.getMessage() for record in caplog.records if record.name == "pepperlatch.trace"]
     spans = [orjson.loads(line) for line in lines]
     root = next(span for span in spans if span["name"] == "job")
@@ -478,7 +478,7 @@
         ] == 410
         assert (await get_console(world, index, "secrets"))[0] == 404
 
-    run_scenario(scenario, parts=(console_extension,))
+    run_scenario(scenario, extensions=(console_extension,))
 
 
 def test_filters_match_the_named_fields() -> None:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -661,12 +661,12 @@
 class World:
     """The cluster of one scenario: `count` controllers, their network and everything that they talk to.
 
-    `parts`: extensions that each controller loads. `wall_clock`: the time of day, in seconds since the epoch, for a
-    reading of the steady clock. `next_state_limits`, `write_rps`, `platform`: see `settings_of`.
+    `extensions`: factories of the extensions that each controller loads. `wall_clock`: the time of day, in seconds
+    since the epoch, for a reading of the steady clock. `next_state_limits`, `write_rps`, `platform`: see `settings_of`.
     """
 
     def __init__(
-        self, nursery: trio.Nursery, count: int = 3, next_state_limits: str = "", parts: Any = (),
+        self, nursery: trio.Nursery, count: int = 3, next_state_limits: str = "", extensions: Any = (),
         wall_clock: Callable[[float], float] = lambda now: 1e9 + now, write_rps: float | None = None,
         platform: Platform = CPU_PLATFORM,
     ) -> None:  # fmt: skip
@@ -676,7 +676,7 @@
         # How long a message takes from source to address, in seconds; its answer takes as long.
         self.link_delay_s: Callable[[str, str], float] = lambda source, addr: 0.002
         self.sku = platform.machine["sku"]
-        self.parts = parts
+        self.extensions = extensions
         self.wall_clock = wall_clock
         self.write_rps = write_rps
         self.next_state_limits = next_state_limits
@@ -807,7 +807,7 @@
             trio.current_time,
             lambda: self.wall_clock(trio.current_time()),
             index,
-            self.parts,
+            self.extensions,
         )
         self.nodes[index] = node
         self.nursery.start_soon(self._run, index, node)
--- a/tests/pipelines/measure.py
+++ b/tests/pipelines/measure.py
@@ -79,7 +79,7 @@
         await put_with_retries(world, plan, number % 3, 900.0)
         done.append(trio.current_time() - began)
 
-    run_scenario(scenario, parts=EXTENSIONS, write_rps=40.0)
+    run_scenario(scenario, extensions=EXTENSIONS, write_rps=40.0)
     waits.sort()
     print(f"{'with' if crowd else 'without'} {RUNS} runs of {STEPS} steps: {SECONDS} single submissions,", end=" ")
     middle, most = waits[len(waits) // 2], waits[int(len(waits) * 0.99)]
--- a/tests/pipelines/test_both_paths.py
+++ b/tests/pipelines/test_both_paths.py
@@ -106,7 +106,7 @@
         world.observer.on_task_started = started  # type: ignore[method-assign]
 
     # The write rate is so low that each job is a transaction of its own on both paths; all nodes see one time of day.
-    run_scenario(scenario, parts=EXTENSIONS, write_rps=5.5, wall_clock=lambda now: 1e9 + max(0.0, now - BEGIN_S))
+    run_scenario(scenario, extensions=EXTENSIONS, write_rps=5.5, wall_clock=lambda now: 1e9 + max(0.0, now - BEGIN_S))
     return trace
 
 
--- a/tests/pipelines/test_runs.py
+++ b/tests/pipelines/test_runs.py
@@ -34,7 +34,7 @@
         assert (await put_plan(world, plan))[0] == 200 and len(stored_job_ids(world)) == 3
         assert not [key for key in world.state.keys if key.startswith("p/todo/")]
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_plan_with_one_invalid_step_is_refused_and_nothing_is_stored() -> None:
@@ -53,7 +53,7 @@
             assert answer[0] == status and len(answer[1]["problems"]) == 1, answer
         assert not [key for key in world.state.keys if key.startswith(("p/", "j/job/"))]
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_job_submitted_alone_and_by_a_run_at_once_runs_once_though_the_leader_dies() -> None:
@@ -83,7 +83,7 @@
         assert sorted(stored_job_ids(world)) == sorted(ids.values())
         assert world.observer.starts[ids["s0"]] == 2  # two tasks, once each
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_run_completes_once_after_its_node_dies_at_any_transaction() -> None:
@@ -120,7 +120,7 @@
             assert set(ids.values()) <= set(stored_job_ids(world))
         await wait_for_status(world, plan.run_name, "done", 200)
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 async def put_ignoring_lost_answer(world: World, plan: Plan, index: int) -> None:
@@ -144,7 +144,7 @@
         assert (await put_with_retries(world, plan))[0] == 200
         assert sorted(stored_job_ids(world)) == sorted(ids.values())
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_cancelling_a_run_also_stops_the_jobs_still_to_be_created() -> None:
@@ -167,7 +167,7 @@
         assert {row["status"] for row in rows} == {"withdrawn", "not sent"}
         assert (await put_plan(world, plan))[1]["phase"] == "cancelled"
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_run_refused_halfway_cancels_its_own_jobs_and_no_others() -> None:
@@ -189,7 +189,7 @@
         assert rows.pop("s0") in ("queued", "running")
         assert set(rows.values()) == {"withdrawn", "not sent"} and ids
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_same_key_with_other_content_is_refused_with_the_differences() -> None:
@@ -203,7 +203,7 @@
         status, answer = await put_plan(world, other, 2)
         assert status == 409 and answer["differs"] == ["step 's1': tasks was 2 and is 3"]
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_rerun_from_a_step_keeps_the_finished_steps() -> None:
@@ -226,7 +226,7 @@
         assert answer[0] == 409 and "repeat" in answer[1]["problems"][0]["error"]
         assert world.observer.starts[ids["s0"]] == 1
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_run_survives_an_outage_and_lowered_limits_of_the_state_service() -> None:
@@ -247,7 +247,7 @@
             assert (await put_with_retries(world, plan, seconds=90))[0] == 200
         assert sorted(stored_job_ids(world)) == sorted(ids.values())
 
-    run_scenario(scenario, parts=EXTENSIONS, next_state_limits="txn_ops = 10\nvalue_kb = 2.0")
+    run_scenario(scenario, extensions=EXTENSIONS, next_state_limits="txn_ops = 10\nvalue_kb = 2.0")
 
 
 def test_single_jobs_are_not_delayed_by_many_runs() -> None:
@@ -270,7 +270,7 @@
         assert max(waits) < 0.1
         assert len(stored_job_ids(world)) == 115
 
-    run_scenario(scenario, parts=EXTENSIONS, write_rps=40.0)
+    run_scenario(scenario, extensions=EXTENSIONS, write_rps=40.0)
 
 
 def test_run_without_write_budget_gets_503_in_time() -> None:
@@ -281,7 +281,7 @@
         assert (await put_plan(world, chain_plan(2), 0))[0] == 503 and trio.current_time() - at < 4.5
         assert not [key for key in world.state.keys if key.startswith("p/")]
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_node_without_state_service_answers_503_to_runs_and_single_jobs() -> None:
@@ -293,7 +293,7 @@
         assert (await put_plan(world, plan, 1))[0] == 503
         assert (await world.submit(job(1), 1))[0] == 503
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_delayed_creation_after_the_cancellation_creates_no_job() -> None:
@@ -326,7 +326,7 @@
         assert set(late) == {"p/run/billing"}, "a batch came late, and it was the run's version that refused it"
         assert set(stored_job_ids(world)) == created_before
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_run_is_refused_if_the_state_service_rejects_its_jobs() -> None:
@@ -338,7 +338,7 @@
         assert (status, answer["phase"]) == (422, "refused") and "400" not in answer["reason"]
         assert not [key for key in world.state.keys if key.startswith("p/todo/")]
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_job_created_by_another_at_the_same_moment_is_not_overwritten() -> None:
@@ -352,7 +352,7 @@
         assert world.state.keys[key][0]["at"] == 7.0
         await wait_for_status(world, "billing", "done")
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_cancellation_while_the_last_job_is_created_is_not_lost() -> None:
@@ -370,7 +370,7 @@
         assert (status, answer["phase"]) == (200, "cancelled")
         assert {row["status"] for row in (await get_run(world, "billing"))["rows"]} == {"withdrawn"}
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
 
 
 def test_one_of_two_plans_sent_at_once_under_one_key_is_accepted() -> None:
@@ -388,4 +388,4 @@
         assert sorted(status for status, _ in answers) == [200, 409]
         assert set(stored_job_ids(world)) in [set(named.values()) for named in ids]
 
-    run_scenario(scenario, parts=EXTENSIONS)
+    run_scenario(scenario, extensions=EXTENSIONS)
--- a/tests/pipelines/test_schedules.py
+++ b/tests/pipelines/test_schedules.py
@@ -118,7 +118,7 @@
         assert (await schedule("GET", ""))["total"] == 0
         assert not [key for key in world.state.keys if key.startswith(("p/todo/", "p/scheduled/"))]
 
-    run_scenario(scenario, parts=EXTENSIONS, wall_clock=wall)
+    run_scenario(scenario, extensions=EXTENSIONS, wall_clock=wall)
 
 
 def test_due_time_missed_while_all_controllers_are_down_is_run_once_after_restart() -> None:
@@ -138,7 +138,7 @@
         await trio.sleep(30.0)
         assert [key for key in world.state.keys if key.startswith("p/run/")] == ["p/run/run@2026-12-01T00:30Z"]
 
-    run_scenario(scenario, parts=EXTENSIONS, wall_clock=lambda now: BEGIN_S + now)
+    run_scenario(scenario, extensions=EXTENSIONS, wall_clock=lambda now: BEGIN_S + now)
 
 
 def test_schedule_removed_at_the_moment_it_is_due_stays_removed() -> None:
@@ -151,4 +151,4 @@
         await trio.sleep(80.0)
         assert not [key for key in world.state.keys if key.startswith(("p/todo/", "p/run/"))]
 
-    run_scenario(scenario, parts=EXTENSIONS, wall_clock=lambda now: BEGIN_S + now)
+    run_scenario(scenario, extensions=EXTENSIONS, wall_clock=lambda now: BEGIN_S + now)
--- a/tests/test_extensions.py
+++ b/tests/test_extensions.py
@@ -80,7 +80,7 @@
         assert set(heard) == {"run-000001 ready"}  # told nothing more once it raised
         assert not [key for key in world.state.keys if key.startswith("x/")]
 
-    run_scenario(scenario, parts=(create,))
+    run_scenario(scenario, extensions=(create,))
 
 
 def test_no_extension_may_claim_keys_that_are_taken() -> None:
