--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -621,7 +621,7 @@
         """
         state = answer["status"]
         if state == "withdrawn" and not self.was_cancel_requested(job_id):
-            self.violations.append(f"went_back {job_id}: nobody cancelled it")
+            self.violations.append(f"went_back {job_id}: no user cancelled it")
         if state == "done" and len(self.done_tasks[job_id]) < self.world.jobs[job_id]["pieces"]:
             self.violations.append(f"not_done {job_id}")
         if state in ("queued", "running") and self.prerequisite_cancelled_at(job_id) < trio.current_time() - CANCEL_S:
--- a/tests/pipelines/test_schedules.py
+++ b/tests/pipelines/test_schedules.py
@@ -47,9 +47,8 @@
     now = at("UTC", 2026, 12, 1, 9, 20)
     assert [schedules.run_key(due) for due in schedules.due_times(record, now)] == ["2026-12-01T09:00Z"]
     assert schedules.due_times(msgspec.structs.replace(record, missed="skip"), now) == []
-    late = at(
-        "UTC", 2026, 12, 1, 9, 1
-    )  # a due time just past is not missed, and the missed ones before it are not run as well
+    # A due time just past is not missed, and the missed ones before it are not run as well.
+    late = at("UTC", 2026, 12, 1, 9, 1)
     for missed in ("run", "skip"):
         assert len(schedules.due_times(msgspec.structs.replace(record, missed=missed), late)) == 1
     minutes = ScheduleRecord("* * * * *", "UTC", "skip", "", 0, late - 3600)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -28,15 +28,18 @@
 
 
 def spec_of(number: int, **changes: Any) -> wire.JobSpec:
+    """The spec of a job that `tests.fakes.job` makes from these arguments."""
     spec: wire.JobSpec = wire.convert(job(number, **changes), wire.JobSpec)
     return spec
 
 
 def machine(name: str, zone: str = "a", spot: bool = False) -> Machine:
+    """A machine of 8 CPUs that is up and last reported at 0 s."""
     return Machine(name, TYPE, zone, spot, "", Status.UP, 0.0, last_report_at=0.0, reached_at=0.0, heartbeat_at=0.0)
 
 
 def run_on(where: Machine, one: Job, task: int, since: float = 0.0) -> Attempt:
+    """Let the task run on the machine since this time, in seconds, and return its attempt."""
     attempt = Attempt(one, task, task + 1, where, since, Phase.CONFIRMED, wire.TaskState.RUNNING, since)
     one.live[task] = attempt
     where.add(attempt)
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -17,7 +17,7 @@
 
 
 async def create_machines_with_room(world: World) -> None:
-    """Three ordinary machines, each partly used by long work of another team; the cloud has no more capacity."""
+    """Create three ordinary machines, each partly used by long work of another team; the cloud has no more capacity."""
     for zone in "abc":
         world.cloud.create(zone)
     world.cloud.capacity.clear()
@@ -40,7 +40,7 @@
     waited_from = trio.current_time()
     while not world.running(one):
         assert trio.current_time() - waited_from < WAIT_MOST_S or not room_for(world, one), (
-            "there is room, and it waits"
+            "the job waits although there is room"
         )
         await trio.sleep(0.5)
 
