--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -21,7 +21,7 @@
 from pepperlatch.controller.leader import GRANT, HeartbeatAnswer, Leader
 from pepperlatch.controller.leadership import renewal_deadline
 from pepperlatch.controller.store import Replica
-from pepperlatch.policy.cluster import PROCESS_AGE
+from pepperlatch.policy.cluster import PROCESS_AGE_KEY
 from pepperlatch.policy.heartbeat_router import HeartbeatRouter
 from pepperlatch.policy.model import split_task
 from pepperlatch.protocol import wire
@@ -244,7 +244,7 @@
 
         `unreached`: machines that the leader reaches only through other controllers; their reports are accepted here.
         Returns, by machine, the seconds since its lease was last renewed here (those within two lease times), and under
-        PROCESS_AGE the age of this process in seconds.
+        PROCESS_AGE_KEY the age of this process in seconds.
         """
         now = self._clock()
         self.routes.accept_locally(unreached, now)
@@ -252,7 +252,7 @@
         oldest = now - 2 * self._lease_s
         self._renewed_at = {name: at for name, at in self._renewed_at.items() if at > oldest}
         ages = {name: round(now - at, 3) for name, at in self._renewed_at.items()}
-        return {PROCESS_AGE: round(now - self._began_at, 3), **ages}
+        return {PROCESS_AGE_KEY: round(now - self._began_at, 3), **ages}
 
 
 def _response(answer: HeartbeatAnswer) -> Response:
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -33,7 +33,7 @@
 SILENT, SILENT_CANCELLED = "silent", "silent, perhaps with a cancelled task"
 # Key of the process's age in seconds in the answer to a revocation of delegated lease renewal; the other keys are
 # machines' names.
-PROCESS_AGE = ""
+PROCESS_AGE_KEY = ""
 SpecOf = Callable[[str], JobSpec | None]  # finds the spec of a job by its id
 
 
@@ -756,11 +756,11 @@
         """Note that a peer has acknowledged that it renews no lease on the leader's behalf before `until`.
 
         `renewed`: by machine, seconds since the peer last renewed its lease. The peer remembers only what its present
-        process did, whose age in seconds is under PROCESS_AGE. Without an age (a peer of an earlier version) the
+        process did, whose age in seconds is under PROCESS_AGE_KEY. Without an age (a peer of an earlier version) the
         acknowledgement has no effect, and only the passing of time proves that the peer renews no lease.
         """
         self.peer_answered_at[peer] = now
-        other, began_s = self.renewal_delegates.get(peer), renewed.get(PROCESS_AGE)
+        other, began_s = self.renewal_delegates.get(peer), renewed.get(PROCESS_AGE_KEY)
         if other is not None and began_s is not None:
             other.revoked_until = until
             other.process_began_by = now - began_s
--- a/tests/cuts/test_sessions.py
+++ b/tests/cuts/test_sessions.py
@@ -13,7 +13,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.policy import placement
-from pepperlatch.policy.cluster import PROCESS_AGE, Cluster
+from pepperlatch.policy.cluster import PROCESS_AGE_KEY, Cluster
 from pepperlatch.policy.model import Machine, Phase, Status
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.wire import Report
@@ -155,11 +155,11 @@
     cluster.on_report(report(1, 5), 1.0, heartbeat=True)
     cluster.allow_delegated_renewal("perch-1", 1.0)
     over = 1.1 + LEASE_S + SLACK_S
-    cluster.on_renewal_revoked("perch-1", {PROCESS_AGE: 0.5}, over + 2, over)
+    cluster.on_renewal_revoked("perch-1", {PROCESS_AGE_KEY: 0.5}, over + 2, over)
     assert not cluster.lease_over(one, over), "its earlier process may have answered the machine half a second ago"
     cluster.on_renewal_revoked("perch-1", {}, over + 2, over)
     assert not cluster.lease_over(one, over), "an earlier version does not state the age of its process"
-    cluster.on_renewal_revoked("perch-1", {PROCESS_AGE: 60.0}, over + 2, over)
+    cluster.on_renewal_revoked("perch-1", {PROCESS_AGE_KEY: 60.0}, over + 2, over)
     assert cluster.lease_over(one, over)
 
 
