--- a/pepperlatch/command/scale.py
+++ b/pepperlatch/command/scale.py
@@ -14,7 +14,7 @@
 from pepperlatch.scale.results import Result
 from pepperlatch.scale.scenario import Scenario
 
-PROGRESS_INTERVAL_S = 10.0  # s; between two progress lines without a terminal
+PROGRESS_INTERVAL_S = 10.0  # s; interval between two progress lines without a terminal
 
 
 class _LineProgress:
--- a/pepperlatch/constants/console.py
+++ b/pepperlatch/constants/console.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 # --- history in a leader's memory -----------------------------------------------------------------
-# All time lines with their texts and names; a small controller has 146 MB in all.
+# Memory of all time lines with their texts and names; a small controller has 146 MB in all.
 MAX_HISTORY_BYTES: Final = 8 * 1024 * 1024  # bytes
 # Memory of a time line besides its records: two dictionary entries, an id and a buffer.
 TIMELINE_OVERHEAD_BYTES: Final = 260  # bytes
@@ -31,14 +31,14 @@
 
 # --- the view -------------------------------------------------------------------------------------
 LEADER_SHARE: Final = 0.02  # share of a leader's processor that all viewers together may use
-# Time over which that share is saved up, so that the first view of thousands of jobs is answered whole.
+# Time over which LEADER_SHARE is saved up, so that the first view of thousands of jobs is answered whole.
 LEADER_BURST_S: Final = 10.0  # s
 MIN_REFRESH_INTERVAL_S: Final = 1.0  # s; changes within it become one revision
 ROWS_PER_BATCH: Final = 500  # rows built without a pause; some 5 ms of a whole core
 ROWS_PER_ANSWER: Final = 100  # rows built before an answer; further ones wait until viewers leave time for them
 # Time for which a page of jobs is served from the cache; the changes since then bring it up to date.
 PAGE_CACHE_S: Final = 5.0  # s
-ROW_BATCH_PAUSE_S: Final = 0.2  # s; between two batches of rows, so that reports and planning rounds can run
+ROW_BATCH_PAUSE_S: Final = 0.2  # s; pause between two batches of rows, so that reports and planning rounds can run
 VIEW_IDLE_TIMEOUT_S: Final = 60.0  # s without a viewer after which the rows are dropped
 MAX_ANSWER_AGE_S: Final = 10.0  # s; the oldest kept answer that is served when there is no time for a new one
 BUSY_RETRY_S: Final = 2  # s; Retry-After for a viewer whom the leader has no time to answer
--- a/pepperlatch/constants/core.py
+++ b/pepperlatch/constants/core.py
@@ -35,7 +35,7 @@
 MAX_CLIENT_CONNECTIONS: Final = 16  # connections of the command line, which asks one node at a time
 
 LOG_BURST_LINES: Final = 2000.0  # lines of one kind that may be logged at once; a takeover places some thousand tasks
-LOG_LINES_PER_S: Final = 100.0  # lines a second of one kind after the burst
+LOG_LINES_PER_S: Final = 100.0  # lines a second of one kind that may be logged after LOG_BURST_LINES
 
 # --- state service --------------------------------------------------------------------------------
 STATE_REQUEST_TIMEOUT_S: Final = 1.5  # s; answers usually take under 10 ms, now and then a few hundred
@@ -66,15 +66,16 @@
 VALUE_OVERHEAD_BYTES: Final = 64  # bytes; kept free in a value for its field names and quotes
 # Transactions of submissions in flight; one slow answer must not delay all others.
 MAX_CONCURRENT_SUBMIT_TXNS: Final = 3
-SUBMIT_TXN_TIMEOUT_S: Final = 0.6  # s; a submission without an answer is then written once more; slow answers take less
-SUBMIT_TIMEOUT_S: Final = 2.0  # s; the user is then told to retry later; the user's own limit is 5 s
+SUBMIT_TXN_TIMEOUT_S: Final = 0.6  # s; a submission unanswered by then is written once more; slow answers take less
+SUBMIT_TIMEOUT_S: Final = 2.0  # s; a user whose submission takes longer is told to retry later; users give up after 5 s
 RETRY_AFTER_S: Final = 2  # s; Retry-After for a user whose request cannot be served now
 
 # Share of the saved-up writes that is left to writes that a user or the leader waits for.
 BACKGROUND_WRITE_RESERVE_SHARE: Final = 0.5
 # Interval at which background writes check whether the budget has room for them.
 BACKGROUND_WRITE_RETRY_S: Final = 0.1  # s
-REFUSED_WRITE_RETRY_S: Final = 10.0  # s; before a write that the state service refuses as it stands is tried again
+# Pause before a write that the state service refuses as it stands is tried again.
+REFUSED_WRITE_RETRY_S: Final = 10.0  # s
 
 MAX_TASKS: Final = 100_000  # tasks; the protocol's limit for one job
 MAX_AMOUNT: Final = 1e9  # CPUs, GB or s; any amount above is a mistake of the sender
@@ -94,7 +95,8 @@
 # Age of a leader's copy of the state at which it hands over. A third of the shortest lease extension: enough for slow
 # reads, and a successor still has time to keep the workers' leases.
 HANDOVER_STALE_S: Final = 6.0  # s
-# Age of a copy at which the other controllers are asked to attest it; by then two reads have failed.
+# Age of a leader's copy of the state at which the other controllers are asked to attest it; by then two reads have
+# failed.
 ATTESTATION_AFTER_S: Final = 1.5  # s
 # Records in one attestation, at most some 40 KB; more than a minute's cancellations.
 MAX_ATTESTED_CANCELLATIONS: Final = 60
@@ -105,9 +107,9 @@
 MAX_CONCURRENT_FENCES: Final = 48  # machines; 0.1 s of work on a third of a core, and far below any socket limit
 SLOW_PLAN_ROUND_S: Final = 0.1  # s; a longer planning round is logged, since it delays reports and polls
 MAX_FENCE_PEERS: Final = 3  # controllers asked to fence a machine that this one cannot reach, before its next attempt
-# Time for two attempts to fence; after it other controllers are asked whether the machine is alive.
+# Time for two attempts to fence; after it other controllers are asked whether the silent machine is alive.
 FENCE_SILENT_S: Final = 2.5  # s
-FENCE_RETRY_S: Final = 0.4  # s; between two attempts to fence the same machine
+FENCE_RETRY_S: Final = 0.4  # s; pause between two attempts to fence the same machine
 
 # --- workers --------------------------------------------------------------------------------------
 COMMAND_TIMEOUT_S: Final = 2.0  # s; a worker answers at once, this allows for one lost packet
@@ -126,14 +128,15 @@
 MAX_SILENCE_S: Final = 90.0  # s
 KILL_REPEAT_S: Final = 2.0  # s; a kill that was not obeyed yet is sent again after this
 FORWARD_IF_BACK_WITHIN_S: Final = 10.0  # s; a redirected worker that returns within this could not reach the leader
-FORWARD_PERIOD_S: Final = 20.0  # s; how long such a worker's reports are forwarded before it is redirected again
+# Reports of a worker that could not reach the leader are forwarded for this long before it is redirected again.
+FORWARD_PERIOD_S: Final = 20.0  # s
 # Requests with forwarded reports in flight to the leader; reports that arrive meanwhile are queued.
 MAX_CONCURRENT_FORWARDS: Final = 2
 MAX_FORWARD_REPORTS: Final = 64  # reports in one request; some 10 ms of a leader's time
 MAX_FORWARD_BYTES: Final = 48 * 1024  # bytes; below the limit of a request's body
 # A controller of an earlier version gets one report a request for this long, then a batch is tried.
 FORWARD_UNBATCHED_S: Final = 30.0  # s
-# Between two requests with reports to a leader; reports that arrive meanwhile share the next request.
+# Shortest time between two requests with reports to a leader; reports that arrive meanwhile share the next request.
 MIN_FORWARD_INTERVAL_S: Final = 0.04  # s
 # A follower gives up the grant of a machine that is silent for this long.
 DELEGATION_SILENT_REPORTS: Final = 2.0  # report intervals
@@ -147,19 +150,20 @@
 # Longest time for which a report waits at a node until there is a leader; the answer still has to reach the worker
 # within its 4 s.
 MAX_HEARTBEAT_WAIT_S: Final = 3.3  # s
-HEARTBEAT_RETRY_S: Final = 0.25  # s; between two attempts to forward a report; an election takes a second or two
+HEARTBEAT_RETRY_S: Final = 0.25  # s; pause between two attempts to forward a report; an election takes a second or two
 # While workers report outside their zone, how often nodes are asked whether they hear the leader.
 PREFERRED_CONTROLLER_PROBE_INTERVAL_S: Final = 1.0  # s
-# Probing goes on for this long after the last such report; longer than a report interval.
+# Nodes are still asked for this long after the last report of a worker outside its zone; longer than a report interval.
 PREFERRED_CONTROLLER_PROBE_PERIOD_S: Final = 10.0  # s
-PREFERRED_CONTROLLER_VALID_S: Final = 2.5  # s; how long an answer to such a probe counts; two probes may be lost
+# For this long a node counts as hearing the leader after it said so; two probes may be lost.
+PREFERRED_CONTROLLER_VALID_S: Final = 2.5  # s
 WORKER_LEASE_MARGIN_S: Final = 0.3  # s; added to a lease before its tasks count as gone, for timers that fire late
 MAX_IMAGE_USES: Final = 8000  # uses remembered, about 1 MB; several images on each of thousands of machines
 MAX_IMAGE_USES_PER_ANSWER: Final = 400  # uses in one answer, 16 KB; followers learn a whole fleet's in a few seconds
 # A machine whose own heartbeats stop for longer gets no tasks; two controllers that are cut off cost a worker 10 s.
 OWN_HEARTBEAT_FACTOR: Final = 2.5  # times FRESH_REPORTS
 MAX_LOST_LAUNCH_ANSWERS: Final = 2  # answers with launches lost in a row; a single one may be lost to the network
-# Copies of an answered launch may arrive for minutes, so the ended attempt stays listed; that costs a few lines of a
+# Copies of an answered launch may arrive for minutes, so an ended attempt stays listed; that costs a few lines of a
 # report.
 DUPLICATE_LAUNCH_WINDOW_S: Final = 120.0  # s
 ATTEMPT_NUMBER_BITS: Final = 24  # bits; 16 million attempts under one token
@@ -175,20 +179,20 @@
 MAX_NAMES_PER_RELEASE: Final = 100  # names; the protocol's limit for one request
 MAX_CONCURRENT_HIRES: Final = 3  # offers asked for at once; about a second's worth of the cloud's calls
 MIN_RENT_INTERVAL_S: Final = 0.2  # s; needs that arise together share one request, since calls are scarcer than time
-NO_CAPACITY_PAUSE_S: Final = 10.0  # s; before a refused offer is asked for again; doubles up to MAX_NO_CAPACITY_PAUSE_S
-# An offer of which this service itself returned machines is asked for again at once.
+NO_CAPACITY_PAUSE_S: Final = 10.0  # s; first pause after a refused offer; doubles up to MAX_NO_CAPACITY_PAUSE_S
+# Longest pause after a refused offer. An offer of which this service itself returned machines is asked for at once.
 MAX_NO_CAPACITY_PAUSE_S: Final = 90.0  # s
 BOOT_TIMEOUT_FACTOR: Final = 3.0  # times the usual boot time; after that a machine counts as never coming up
 MAX_BOOTS_REMEMBERED: Final = 20  # latest boots of a type that are remembered; a few minutes' worth
-MIN_BOOT_SAMPLES: Final = 4  # boots; fewer say nothing
+MIN_BOOT_SAMPLES: Final = 4  # boots; fewer say nothing about a type's boot time
 MIN_BOOT_S: Final = 1.0  # s; a machine that seems to boot faster was up before this leader knew of it
 SLOW_BOOT_QUANTILE: Final = 0.9  # quantile of the latest boot times that is expected
-SLOW_BOOT_FACTOR: Final = 1.2  # times that quantile; a machine that boots for longer is not counted on any more
+SLOW_BOOT_FACTOR: Final = 1.2  # times the boot time at SLOW_BOOT_QUANTILE; a slower machine is no longer counted on
 MIN_BOOT_TIMEOUT_S: Final = 45.0  # s; lower bound of the boot timeout, for types that boot fast
 LIST_LAG_FACTOR: Final = 2.0  # times; the cloud's lists may be older than their nominal lag by this factor
 
 # --- chained jobs ---------------------------------------------------------------------------------
-# From the last task of a job to the first of the next: reports, a record, a launch, its image.
+# Time from the last task of a job to the first task of the next job: reports, a record, a launch, its image.
 CHAIN_STEP_S: Final = 3.0  # s
 MAX_NAME_CHARS_SHOWN: Final = 100  # characters shown of a name that no job has; it may be as long as a request
 MAX_NAMES_SHOWN: Final = 3  # jobs named in a waiting reason, where further ones are only counted; types in a refusal
@@ -215,7 +219,7 @@
 MIN_PLAN_WORK: Final = 4_000.0  # machines examined in a round, however slow it is; some 40 placements
 MIN_MEASURED_ROUND_S: Final = 0.02  # s; shorter rounds say little of how fast the next will be
 PLAN_PAUSE_FACTOR: Final = 3.0  # times a round's length that is left to other work after it; reports go before planning
-# Times a round's length until the next if nothing changes; planning then takes 5 % of the leader's time.
+# Lengths of the last round until the next one if nothing changes; planning then takes 5 % of the leader's time.
 IDLE_PLAN_PAUSE_FACTOR: Final = 20.0
 # A job's waiting reason is shown for at least this long: longer than the cloud takes to answer a rental, too short for
 # users to mind.
@@ -239,9 +243,9 @@
 TASK_START_S: Final = 0.5  # s; from planning a launch to the task's start where the image is present
 # After this wait a job of which nothing runs uses room reserved for others; users regard a job as lost after 90 s.
 MAX_RESERVATION_WAIT_S: Final = 75.0  # s
-# A job of which no task has started by then goes first; users regard a job as lost after four minutes.
+# A job of which no task has started after this wait goes first; users regard a job as lost after four minutes.
 OVERDUE_S: Final = 200.0  # s
-OVERDUE_GANG_S: Final = 100.0  # s; the same for a gang, which needs further time until tasks in its place have ended
+OVERDUE_GANG_S: Final = 100.0  # s; OVERDUE_S of a gang, which needs further time until tasks in its place have ended
 GANG_RESERVATION_S: Final = 100.0  # s; other jobs leave free room to a gang for this long, then use it for as long
 # Times a job's longest objective; a job that has waited longer goes first, else many other jobs could starve it.
 MISSED_OBJECTIVE_FACTOR: Final = 2.0
@@ -253,11 +257,11 @@
 LEADER_SUMMARY_CACHE_S: Final = 0.3  # s
 # After a request of the leader, a node does not renew workers' leases in the leader's place for this long.
 RENEWAL_REVOCATION_S: Final = 3.0  # s
-# The leader counts on that for this much less, since timers may fire late.
+# The leader counts on a revocation for this much less than RENEWAL_REVOCATION_S, since timers may fire late.
 RENEWAL_REVOCATION_MARGIN_S: Final = 0.3  # s
 # Pause before a job that had other tasks stopped, and still found no place, may have further ones stopped.
 PREEMPT_PAUSE_S: Final = 4.0  # s
-# Three requests without an answer; workers are not redirected to a leader that is silent for this long.
+# Time of three requests without an answer; workers are not redirected to a leader that is silent for this long.
 LEADER_SILENT_S: Final = 3.0  # s
 # Interval of the health checks of other controllers; the load balancer asks about once a second.
 HEALTH_INTERVAL_S: Final = 0.7  # s
--- a/pepperlatch/constants/scale.py
+++ b/pepperlatch/constants/scale.py
@@ -20,7 +20,7 @@
 
 START_TIMEOUT_S: Final = 60.0  # s; until all controllers are healthy, in which time hundreds of machines report
 STOP_TIMEOUT_S: Final = 3.0  # s; a process that was asked to end is killed after this
-CONTROL_TIMEOUT_S: Final = 10.0  # s; for the answer of a simulated process, which may be busy
+CONTROL_TIMEOUT_S: Final = 10.0  # s; limit for the answer of a simulated process, which may be busy
 SAMPLE_INTERVAL_S: Final = 1.0  # s; how often processes are measured
 TOOL_BUSY_SHARE: Final = 0.85  # share of a core; a simulated process above it may itself be the limit of a run
 MACHINE_BUSY_SHARE: Final = 0.9  # share of all cores; above it the machine may be the limit of a run
--- a/pepperlatch/constants/zones.py
+++ b/pepperlatch/constants/zones.py
@@ -4,7 +4,7 @@
 
 MIN_MACHINES: Final = 3  # machines of a zone; fewer say nothing about it
 CUT_SILENT_SHARE: Final = 0.5  # share of a zone's machines; so many machines do not fail independently at once
-# The same for a zone without controllers, where nothing else distinguishes a cut from failed machines.
+# CUT_SILENT_SHARE of a zone without controllers, where nothing else distinguishes a cut from failed machines.
 CUT_SILENT_SHARE_WITHOUT_CONTROLLER: Final = 0.8
 RECOVERED_SILENT_SHARE: Final = 0.25  # share still silent; well below CUT_SILENT_SHARE, so that a zone does not flap
 RECOVERY_S: Final = 15.0  # s; about a lease, in which a machine that was cut off may still be looking for a controller
--- a/pepperlatch/controller/attestation.py
+++ b/pepperlatch/controller/attestation.py
@@ -3,8 +3,8 @@
 A leader may renew tasks' leases only for the lease extension (`lease_extension_seconds`, G in `docs/safety.md`) after
 its copy was proven current, since other controllers may have confirmed cancellations to users since then. Only
 controllers confirm them. So if every other controller attests which cancellations it may have confirmed, and none of
-them knows a later leader, the leader knows as much as a read would have shown, and G begins anew ("Vouching" in
-`docs/safety.md`).
+them knows a later leader, the leader knows as much as a read would have shown, and the lease extension begins anew
+("Vouching" in `docs/safety.md`).
 """
 
 import contextlib
--- a/pepperlatch/controller/leadership.py
+++ b/pepperlatch/controller/leadership.py
@@ -69,7 +69,8 @@
 def lease_extension_seconds(cancel_s: float, lease_s: float) -> float:
     """Return how long after a fresh read of the state service tasks' leases may still be renewed, in seconds.
 
-    A task that is renewed up to then ends within `cancel_s` of the read. This is G in `docs/safety.md`, section 6.
+    A task that is renewed up to then ends within `cancel_s` of the read. This time is the lease extension, G in
+    `docs/safety.md`, section 6.
     """
     return max(0.0, (cancel_s - lease_s * (1 + c.CLOCK_DRIFT)) * (1 - c.CLOCK_DRIFT) - c.LEASE_EXTENSION_MARGIN_S)
 
--- a/pepperlatch/policy/events.py
+++ b/pepperlatch/policy/events.py
@@ -11,7 +11,7 @@
 
 
 class Listener(Protocol):
-    """Receives the events. Its methods are called by name in `controller/parts.py`."""
+    """Receives the events. Its methods are called by name in `controller/extensions.py`."""
 
     def explained(self, job: Job, now: float) -> None:
         """The kind of `job.reason` has changed."""
--- a/pepperlatch/policy/heartbeat_router.py
+++ b/pepperlatch/policy/heartbeat_router.py
@@ -2,7 +2,7 @@
 
 A zone that is partitioned from all others keeps its own links. Workers that report within their zone then keep their
 controller and need not search for another one while their leases run, and that controller may renew their leases on the
-leader's behalf (G in `docs/safety.md`). No I/O, no clock.
+leader's behalf within the lease extension (G in `docs/safety.md`). No I/O, no clock.
 """
 
 from collections.abc import Iterable
--- a/tests/test_failure_scenarios.py
+++ b/tests/test_failure_scenarios.py
@@ -402,7 +402,7 @@
     run_scenario(scenario)
 
 
-def test_reports_are_relayed_to_a_leader_that_workers_cannot_reach() -> None:
+def test_reports_are_forwarded_to_a_leader_that_workers_cannot_reach() -> None:
     async def scenario(world: World) -> None:
         service = job(1, shape="daemon", pieces=2)
         await world.submit(service)
--- a/tests/test_large_clusters.py
+++ b/tests/test_large_clusters.py
@@ -324,7 +324,7 @@
 
 
 def test_a_leader_fences_a_machine_that_it_cannot_reach_through_other_nodes() -> None:
-    """Failure: a new leader that was cut off from a zone waited 12 s for reports of that zone to be relayed."""
+    """Failure: a new leader that was cut off from a zone waited 12 s for reports of that zone to be forwarded."""
 
     async def scenario(world: World) -> None:
         for zone in ZONES:
