--- a/pepperlatch/controller/attestation.py
+++ b/pepperlatch/controller/attestation.py
@@ -4,7 +4,7 @@
 its copy was proven current, since other controllers may have confirmed cancellations to users since then. Only
 controllers confirm them. So if every other controller attests which cancellations it may have confirmed, and none of
 them knows a later leader, the leader knows as much as a read would have shown, and the lease extension begins anew
-("Vouching" in `docs/safety.md`).
+("Attestation of cancellations" in `docs/safety.md`).
 """
 
 import contextlib
