--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -80,7 +80,7 @@
         self._images = images
         self._leader = leader
         self._leaderless = leaderless
-        self._images_received = (0, 0)  # token of the leader, and the last of its numbers that this node has
+        self._images_received = (0, 0)  # token of the leader, and number of the last image use received from it
         self._progress_cache: tuple[int, float, dict[str, Any]] = (0, float("-inf"), {})  # token, time made, rows
         self._peer_answered_at = float("-inf")
 
@@ -100,7 +100,7 @@
         if leader is None or message.token != leader.term.token or leader.term.over:
             return Response(404, {"error": "does not lead"})
         now = self._clock()
-        leader.cluster.answered_peer(message.node, now)
+        leader.cluster.allow_delegated_renewal(message.node, now)
         answer = self._job_progress(leader, now)
         if uses := self._images.after(message.images):
             answer[IMAGES] = uses
@@ -177,10 +177,9 @@
         return ""
 
     def _isolated(self, leader: Leader) -> bool:
-        """Whether no report, direct or forwarded, and no answer of a peer came for HANDOVER_SILENT_REPORTS report
-        intervals.
+        """Whether no report and no answer of a peer has come for HANDOVER_SILENT_REPORTS report intervals.
 
-        Never if no machine is up.
+        Reports count whether direct or forwarded. False while no machine is up.
         """
         machines = [m for m in leader.cluster.machines.values() if m.status is Status.UP]
         since = max([leader.cluster.started, self._peer_answered_at, *(m.last_report_at for m in machines)])
@@ -224,7 +223,7 @@
         """What the leader sends to all other controllers, unasked."""
         now, cluster = self._clock(), leader.cluster
         return PeerMessage(
-            self._settings.node, leader.term.token, relay=sorted(cluster.machines_to_relay(now)),
+            self._settings.node, leader.term.token, relay=sorted(cluster.machines_needing_forwarding(now)),
             cancelled=cluster.machines_with_cancelled_tasks(now), witnesses=cluster.latest_reporters(),
         )  # fmt: skip
 
@@ -237,8 +236,10 @@
         answer = await self._request(peer, PEER_REVOKE_RENEWAL, message)
         if answer is not None:
             self._peer_answered_at = self._clock()
-            until = sent + c.DELEGATED_RENEWAL_BAR_S - c.DELEGATED_RENEWAL_BAR_MARGIN_S
-            self._command_loop.enqueue(lambda: leader.cluster.on_promise(peer.node, answer, until, self._clock()))
+            until = sent + c.RENEWAL_REVOCATION_S - c.RENEWAL_REVOCATION_MARGIN_S
+            self._command_loop.enqueue(
+                lambda: leader.cluster.on_renewal_revoked(peer.node, answer, until, self._clock())
+            )
 
     async def _request(self, peer: Peer, path: str, message: PeerMessage) -> dict[str, Any] | None:
         """The peer's answer, or None if there is no usable one within PROBE_TIMEOUT_S."""
--- a/pepperlatch/protocol/wire.py
+++ b/pepperlatch/protocol/wire.py
@@ -82,8 +82,9 @@
 
     `types`: names of the machine types that are allowed, None for all. `zone`: the only allowed zone. `one_zone`: all
     tasks in the same zone. `spread`: at most half of the tasks in one zone. `spot`: spot machines are allowed.
-    `estimate_s`: expected run time of a task in seconds. `checkpoint_s`: seconds between two checkpoints, 0 for none.
-    `save_s`: seconds that a checkpoint takes. `deadline_s`: seconds from acceptance until the job is due.
+    `image_gb`: size of the image that a machine fetches before the task starts. `estimate_s`: expected run time of a
+    task in seconds. `checkpoint_s`: seconds between two checkpoints, 0 for none. `save_s`: seconds that a checkpoint
+    takes. `deadline_s`: seconds from acceptance until the job is due.
     """
 
     id: str
@@ -113,7 +114,10 @@
     msgspec.Struct,
     rename={"task": "piece", "attempt": "try", "state": "status", "end_cause": "cause", "saved": "stored"},
 ):
-    """One task in a worker's report. `end_cause`: set once the task has exited. `saved`: "stored" on the wire."""
+    """One task in a worker's report.
+
+    `end_cause`: set once the task has exited. `saved`: "stored" on the wire; controllers do not use it.
+    """
 
     task: str
     attempt: int
@@ -155,7 +159,11 @@
 
 
 class MachineType(msgspec.Struct, rename=_TYPE):
-    """A machine type of the cloud. `boot_s`: its usual boot time in seconds. `zones`: where it can be rented."""
+    """A machine type of the cloud.
+
+    `cache_gb`: space for images. `price` and `spot_price`: for an hour. `boot_s`: usual boot time in seconds. `zones`:
+    where it can be rented.
+    """
 
     name: str
     cpus: float
@@ -275,7 +283,7 @@
 
 
 def job_answer(job_id: str, state: JobState, done: int | None = None, running: int | None = None) -> dict[str, Any]:
-    """Answer to a user about a job. `done`, `running`: numbers of tasks, left out unless `done` is given."""
+    """Answer to a user about a job. `done` and `running` are numbers of tasks; both are left out if `done` is None."""
     answer: dict[str, Any] = {"name_id": job_id, "status": state.value}
     if done is not None:
         answer["done"] = done
@@ -355,6 +363,7 @@
 
 
 def condition_key(condition: dict[str, Any]) -> str:
+    """The key that a condition is about."""
     return str(condition["k"])
 
 
@@ -372,10 +381,12 @@
 
 
 def delete(key: str) -> dict[str, Any]:
+    """Write of a transaction that deletes the key."""
     return {"delete": key}
 
 
 def txn_body(conditions: list[dict[str, Any]], writes: list[dict[str, Any]]) -> dict[str, Any]:
+    """Body of a transaction; conditions and writes are made by `version_condition`, `put` and `delete`."""
     return {"when": conditions, "writes": writes} if writes else {"when": conditions}
 
 
@@ -390,14 +401,17 @@
 
 
 def revision_of(answer: dict[str, Any]) -> int:
+    """The state service's revision in the answer to a transaction."""
     return int(answer["ledger_mark"])
 
 
 def lease_body(ttl_ms: int) -> dict[str, Any]:
+    """Body of a request for a lease of `ttl_ms` milliseconds."""
     return {"life_ms": ttl_ms}
 
 
 def lease_of(answer: dict[str, Any]) -> int:
+    """The number of the granted lease."""
     return int(answer["tenancy"])
 
 
--- a/pepperlatch/scale/addresses.py
+++ b/pepperlatch/scale/addresses.py
@@ -1,4 +1,4 @@
-"""Where each part of a run listens: each has its own loopback address; the run has a pair of ports for itself."""
+"""Where the parts of a run listen: each has its own loopback address, and the run has a pair of ports for itself."""
 
 import socket
 from dataclasses import dataclass
@@ -58,7 +58,8 @@
 def find_free_ports() -> Addresses:
     """The first pair of ports whose first one is free now. Raises NoPort.
 
-    Nothing reserves the ports until the processes of the run listen on them.
+    Nothing reserves the ports until the processes of the run listen on them, so two runs that start together choose the
+    same ports. One or both of them then fail.
     """
     for port in range(c.FIRST_PORT, c.LAST_PORT, c.PORT_STEP):
         with socket.socket() as probe:
--- a/tests/pipelines/test_schedules.py
+++ b/tests/pipelines/test_schedules.py
@@ -47,9 +47,8 @@
     now = at("UTC", 2026, 12, 1, 9, 20)
     assert [schedules.run_key(due) for due in schedules.due_times(record, now)] == ["2026-12-01T09:00Z"]
     assert schedules.due_times(msgspec.structs.replace(record, missed="skip"), now) == []
-    late = at(
-        "UTC", 2026, 12, 1, 9, 1
-    )  # a due time just past is not missed, and the missed ones before it are not run as well
+    # A due time just past is not missed, and the missed ones before it are not run as well.
+    late = at("UTC", 2026, 12, 1, 9, 1)
     for missed in ("run", "skip"):
         assert len(schedules.due_times(msgspec.structs.replace(record, missed=missed), late)) == 1
     minutes = ScheduleRecord("* * * * *", "UTC", "skip", "", 0, late - 3600)
@@ -118,7 +117,7 @@
         assert (await schedule("GET", ""))["total"] == 0
         assert not [key for key in world.state.keys if key.startswith(("p/todo/", "p/scheduled/"))]
 
-    run_scenario(scenario, parts=EXTENSIONS, wall_clock=wall)
+    run_scenario(scenario, extensions=EXTENSIONS, wall_clock=wall)
 
 
 def test_due_time_missed_while_all_controllers_are_down_is_run_once_after_restart() -> None:
@@ -138,7 +137,7 @@
         await trio.sleep(30.0)
         assert [key for key in world.state.keys if key.startswith("p/run/")] == ["p/run/run@2026-12-01T00:30Z"]
 
-    run_scenario(scenario, parts=EXTENSIONS, wall_clock=lambda now: BEGIN_S + now)
+    run_scenario(scenario, extensions=EXTENSIONS, wall_clock=lambda now: BEGIN_S + now)
 
 
 def test_schedule_removed_at_the_moment_it_is_due_stays_removed() -> None:
@@ -151,4 +150,4 @@
         await trio.sleep(80.0)
         assert not [key for key in world.state.keys if key.startswith(("p/todo/", "p/run/"))]
 
-    run_scenario(scenario, parts=EXTENSIONS, wall_clock=lambda now: BEGIN_S + now)
+    run_scenario(scenario, extensions=EXTENSIONS, wall_clock=lambda now: BEGIN_S + now)
