--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -129,7 +129,8 @@
     async def _start_run(self, plan: Plan) -> Response:
         """Refuse the whole plan, or record its run and advance it.
 
-        A run that exists already is advanced if its content is the same, else the request is refused with 409.
+        If a run of this name exists already, or is recorded at the same time by another request or a schedule, that run
+        is advanced if its content is the same, else the request is refused with 409.
         """
         loaded, digest = await self._load_run(plan.run_name), plans.digest(plan)
         if loaded is None:
@@ -148,7 +149,10 @@
             if loaded is None:
                 return retry_later()
             log.info(
-                "pipeline run %s: received a plan of %d steps, the run is recorded", plan.run_name, len(plan.steps)
+                "pipeline run %s: requested with a plan of %d steps; a run of this name is now recorded, and if its "
+                "plan differs, the request is answered with 409",
+                plan.run_name,
+                len(plan.steps),
             )
         if loaded.record.digest != digest:
             differs = plans.differences(loaded.plan, plan)
