--- a/pepperlatch/command/serve.py
+++ b/pepperlatch/command/serve.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from pepperlatch.controller.parts import Core, Part
+    from pepperlatch.controller.extensions import Extension, ExtensionContext
     from pepperlatch.features import Features
 
 
@@ -39,9 +39,9 @@
     return 0
 
 
-def _parts(wanted: "Features") -> "list[Callable[[Core], Part]]":
+def _parts(wanted: "Features") -> "list[Callable[[ExtensionContext], Extension]]":
     """What is switched on; the rest is not even imported."""
-    parts: list[Callable[[Core], Part]] = []
+    parts: list[Callable[[ExtensionContext], Extension]] = []
     if wanted.pipelines.on:
         from pepperlatch.pipelines.part import Pipelines
 
--- a/pepperlatch/console/metrics.py
+++ b/pepperlatch/console/metrics.py
@@ -14,7 +14,7 @@
 from pepperlatch import __version__
 from pepperlatch.console.model import machine_totals
 from pepperlatch.console.recorder import Recorder
-from pepperlatch.controller.parts import Core
+from pepperlatch.controller.extensions import ExtensionContext
 
 if TYPE_CHECKING:
     from pepperlatch.controller.leader import Leader
@@ -26,9 +26,9 @@
 class Collector:
     """Reads everything at the moment of the scrape; a node that does not lead has only what is its own."""
 
-    def __init__(self, core: Core, leads: Leads) -> None:
+    def __init__(self, core: ExtensionContext, leads: Leads) -> None:
         self._core = core
-        leader = core.leading()
+        leader = core.current_leader()
         self._leads = leads if leads is not None and leads[0] is leader and not leads[0].term.over else None
 
     def collect(self) -> Iterator[Metric]:
@@ -89,7 +89,7 @@
     return gauge
 
 
-def exposed(core: Core, leads: Leads) -> tuple[str, bytes]:
+def exposed(core: ExtensionContext, leads: Leads) -> tuple[str, bytes]:
     """Content type and text of one scrape."""
     registry = CollectorRegistry()
     registry.register(Collector(core, leads))
--- a/pepperlatch/console/part.py
+++ b/pepperlatch/console/part.py
@@ -13,8 +13,8 @@
 
 from pepperlatch import features
 from pepperlatch.constants import console as c
+from pepperlatch.controller.extensions import Extension, ExtensionContext
 from pepperlatch.controller.leadership import Term
-from pepperlatch.controller.parts import Core, Part
 from pepperlatch.policy.events import Listener
 from pepperlatch.protocol.http.server import Request, Response, Server
 from pepperlatch.protocol.state import Away, Unsure
@@ -28,12 +28,14 @@
 log = logging.getLogger(__name__)
 
 
-class Console(Part):
+class Console(Extension):
     name = "console"
     prefix = "c/"
-    operators_paths: Sequence[str] = ("/console", "/metrics")
+    operator_paths: Sequence[str] = ("/console", "/metrics")
 
-    def __init__(self, core: Core, wanted: features.Console, spent: Callable[[], float] = time.process_time) -> None:
+    def __init__(
+        self, core: ExtensionContext, wanted: features.Console, spent: Callable[[], float] = time.process_time
+    ) -> None:
         self._core = core
         self._wanted = wanted
         self._spent = spent
@@ -41,7 +43,7 @@
         self._made: Views | None = None
         self._looked = trio.Event()
 
-    def listen(self, leader: "Leader") -> Listener:
+    def create_listener(self, leader: "Leader") -> Listener:
         from pepperlatch.console.recorder import Recorder
 
         over = None
@@ -91,7 +93,7 @@
             await self._looked.wait()
             await self._views().run()
 
-    async def lead(self, term: Term) -> None:
+    async def run_while_leading(self, term: Term) -> None:
         """Take up what the last leader saved, then save in turn. Cut off anywhere, the last whole saving stays."""
         from pepperlatch.console.saving import Saving
 
--- a/pepperlatch/console/saving.py
+++ b/pepperlatch/console/saving.py
@@ -16,7 +16,7 @@
 from pepperlatch.constants import console as c
 from pepperlatch.constants import core
 from pepperlatch.controller import store
-from pepperlatch.controller.parts import Core
+from pepperlatch.controller.extensions import ExtensionContext
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.state import Away, Refused, Unsure
 
@@ -35,7 +35,7 @@
 
 
 class Saving:
-    def __init__(self, core: Core, leader: "Leader", recorder: Recorder) -> None:
+    def __init__(self, core: ExtensionContext, leader: "Leader", recorder: Recorder) -> None:
         self._core = core
         self._leader = leader
         self._recorder = recorder
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -21,7 +21,7 @@
 from pepperlatch.console.model import Gone, Model, of_record
 from pepperlatch.console.recorder import Recorder
 from pepperlatch.constants import console as c
-from pepperlatch.controller.parts import Core
+from pepperlatch.controller.extensions import ExtensionContext
 from pepperlatch.policy.reasons import changes_when
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.budget import Budget
@@ -52,7 +52,7 @@
 class Views:
     """What this node shows. `spent` is the processor time used so far, in s."""
 
-    def __init__(self, core: Core, spent: Callable[[], float]) -> None:
+    def __init__(self, core: ExtensionContext, spent: Callable[[], float]) -> None:
         self._core = core
         self._spent = spent
         self._budget = Budget(
@@ -87,7 +87,7 @@
             await trio.sleep(c.ROWS_PAUSE_S)
 
     def _leading(self) -> Model | None:
-        model, leader = self._model, self._core.leading()
+        model, leader = self._model, self._core.current_leader()
         if model is None or leader is None or model.leader is not leader or leader.term.over or not leader.ready:
             return None
         return model
@@ -235,7 +235,7 @@
         core, replica = self._core, self._core.watched.replica
         if path not in (f"{BASE}/jobs", f"{BASE}/overview"):
             return Response(503, {"error": f"only the leader knows that, and {why}"}, {"Retry-After": "2"})
-        told, wall = core.told(), core.wall()
+        told, wall = core.leader_snapshot(), core.wall()
         found = [
             of_record(job_id, entry, replica, wall, told=told.progress(job_id))
             for job_id, entry in replica.jobs.items() if entry.state not in wire.FINAL
@@ -243,12 +243,12 @@
         made = [row for row in found if row is not None]
         held = replica.leader
         now = core.clock()
-        old = now - max(replica.current_at, min(told.at, now)) if replica.current_at > float("-inf") else None
+        old = now - max(replica.current_at, min(told.requested_at, now)) if replica.current_at > float("-inf") else None
         head = {
             "node": core.settings.node, "version": __version__, "leader": held[0] if held else None,
             "token": held[1] if held else None, "revision": 0, "at": round(wall, 1),
             "age_s": round(old, 1) if old is not None else None,
-            "told_s": round(now - told.at, 1) if told.at > float("-inf") else None,
+            "told_s": round(now - told.requested_at, 1) if told.requested_at > float("-inf") else None,
             "source": "records", "why": why,
         }  # fmt: skip
         if path == f"{BASE}/overview":
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -14,13 +14,13 @@
 from pepperlatch.constants import core as c
 from pepperlatch.controller.admin import Admin
 from pepperlatch.controller.contacts import PEER_BAR, PEER_CONTACT, Contacts
+from pepperlatch.controller.extensions import Extension, ExtensionContext, Extensions, LeaderSnapshot
 from pepperlatch.controller.heartbeats.forwarding import PEER_HEARTBEAT, PEER_HEARTBEATS
 from pepperlatch.controller.heartbeats.handler import HeartbeatHandler
 from pepperlatch.controller.leader import Leader
 from pepperlatch.controller.leaderless import LeaderlessReturns
 from pepperlatch.controller.leadership import Leadership, Term, hold_seconds
 from pepperlatch.controller.owner import Owner
-from pepperlatch.controller.parts import Core, Part, Parts, Told
 from pepperlatch.controller.peers import PEER_FENCE, PEER_INSPECT, Peers
 from pepperlatch.controller.store import Replica, Watched
 from pepperlatch.controller.users import Progress, Users
@@ -49,7 +49,7 @@
     def __init__(
         self, settings: Settings, network: Network, clock: Callable[[], float] = trio.current_time,
         wall: Callable[[], float] = time.time, seed: int | None = None,
-        parts: Sequence[Callable[[Core], Part]] = (),
+        extensions: Sequence[Callable[[ExtensionContext], Extension]] = (),
     ) -> None:  # fmt: skip
         self.settings = settings
         self._network = network
@@ -71,11 +71,11 @@
         )
         self.users = Users(settings, self.watched, self.state, wall, self._progress, self.vouching.tell)
         self.admin = Admin(self.watched, self.state, self.view)
-        core = Core(
+        core = ExtensionContext(
             settings, self.users, self.watched, self.state, wall, clock, network, lambda: self.leader,
-            lambda: Told(self.heartbeats.contact.at, self._progress),
+            lambda: LeaderSnapshot(self.heartbeats.contact.at, self._progress),
         )  # fmt: skip
-        self.parts = Parts([part(core) for part in parts])
+        self.extensions = Extensions([create(core) for create in extensions])
         self.images = ImageMemory()
         self.leaderless = LeaderlessReturns(
             params.workers, clock, self.replica, lambda: self.leader is not None, self.workers, self.peers, self.cloud
@@ -96,7 +96,7 @@
             self._nursery = nursery
             loops = (
                 self.owner.run, self.watched.watch, self.watched.serve_syncs, self.users.create_loop,
-                self.contacts.run, self._health_loop, self._homes_loop, self._types_loop, self.parts.run,
+                self.contacts.run, self._health_loop, self._homes_loop, self._types_loop, self.extensions.run,
                 self.heartbeats.forwarder.run, self.leaderless.run,
                 partial(self.watched.keep_current, lambda: self.leader is not None),
             )  # fmt: skip
@@ -113,10 +113,10 @@
             self.settings, term, self.replica, self.state, self.cloud, self.workers, self.owner,
             self._clock, self._wall, self.peers, self.images,
         )  # fmt: skip
-        self.leader.cluster.listener = self.parts.listener(self.leader)
+        self.leader.cluster.listener = self.extensions.listener(self.leader)
         if self._nursery is not None:
             self._nursery.start_soon(self.leader.run)
-            self._nursery.start_soon(self.parts.lead, term)
+            self._nursery.start_soon(self.extensions.run_while_leading, term)
 
     def _changed(self, touched: set[str]) -> None:
         """The watch: the loss of leadership is seen before any job that came after it."""
@@ -138,7 +138,7 @@
             return await self.heartbeats.heartbeat(request.body)
         if request.path.startswith(wire.JOBS):
             return await self.users.handle(request)
-        return await self.parts.handle(request) or await self.users.handle(request)
+        return await self.extensions.handle(request) or await self.users.handle(request)
 
     def _health(self) -> Response:
         """Unhealthy only if this node alone has lost the state service, as far as it can know; an outage is everyone's.
@@ -178,7 +178,7 @@
         if request.path == PEER_HEALTH:
             state = self.replica.loaded and await self._state_answers()
             return Response(200, {"state": state, "leader": self.heartbeats.hears_leader()})
-        return await self.parts.handle(request, operators=True) or await self.admin.handle(request)
+        return await self.extensions.handle(request, operators=True) or await self.admin.handle(request)
 
     async def _forwarded(self, request: Request) -> Response:
         """Heartbeats that another controller forwards: one by itself, or several. Refused whole if malformed."""
@@ -266,7 +266,7 @@
         answer: dict[str, Any] = {
             "node": self.settings.node,
             "version": __version__,
-            "parts": self.parts.names(),
+            "parts": self.extensions.names(),
             "leader": held[0] if held else None,
             "token": held[1] if held else None,
         }
@@ -293,15 +293,17 @@
 
 
 async def serve(
-    settings: Settings, parts: Sequence[Callable[[Core], Part]] = (), made: Callable[[Node], None] = lambda node: None
+    settings: Settings,
+    extensions: Sequence[Callable[[ExtensionContext], Extension]] = (),
+    on_created: Callable[[Node], None] = lambda node: None,
 ) -> None:
-    """Run a node until it is cancelled, with the parts that are switched on. `made` is shown the node."""
+    """Run a node until it is cancelled, with the extensions that are switched on. `on_created` is shown the node."""
     limit = settings.params.limits.max_connections
     accepted = int(limit * c.SOCKET_SHARE_SERVER)
     by_peers = min(accepted // 5, c.PEER_CONNECTIONS * max(1, len(settings.peers)))
     network = HttpNetwork(limit - accepted - 20)
-    node = Node(settings, network, parts=parts)
-    made(node)
+    node = Node(settings, network, extensions=extensions)
+    on_created(node)
     log.info("version %s", __version__)
     async with trio.open_nursery() as nursery:
         for handler, address, most in (
--- a/pepperlatch/controller/parts.py
+++ b/pepperlatch/controller/extensions.py
@@ -33,15 +33,15 @@
 
 
 @dataclass(slots=True)
-class Told:
+class LeaderSnapshot:
     """What a node that does not lead knows from the leader: when it asked, and of each job what was answered."""
 
-    at: float
+    requested_at: float
     progress: Callable[[str], Progress | None]
 
 
 @dataclass(slots=True)
-class Core:
+class ExtensionContext:
     """What a part may use of the node that it runs in."""
 
     settings: Settings
@@ -51,21 +51,21 @@
     wall: Callable[[], float]
     clock: Callable[[], float]
     network: Network
-    leading: "Callable[[], Leader | None]"
-    told: Callable[[], Told]
+    current_leader: "Callable[[], Leader | None]"
+    leader_snapshot: Callable[[], LeaderSnapshot]
 
 
-class Part(Protocol):
+class Extension(Protocol):
     name: str
     prefix: str  # of its keys in the state service
     paths: Sequence[str] = ()  # on the users' listener: each itself and all below it
-    operators_paths: Sequence[str] = ()  # on the controllers' own
+    operator_paths: Sequence[str] = ()  # on the controllers' own
 
     async def handle(self, request: Request) -> Response:
         """Answer a request of its paths; what is left half done if the node dies is its own affair."""
         ...
 
-    def listen(self, leader: "Leader") -> Listener | None:
+    def create_listener(self, leader: "Leader") -> Listener | None:
         """Who is told of what this node's next term decides and sees; the term has not begun to work."""
         return None
 
@@ -73,59 +73,59 @@
         """For as long as the node lives. Started again after a pause if it raises."""
         ...
 
-    async def lead(self, term: Term) -> None:
+    async def run_while_leading(self, term: Term) -> None:
         """While this node leads; cancelled when the term is over."""
         ...
 
 
-class Parts:
-    def __init__(self, parts: Sequence[Part]) -> None:
+class Extensions:
+    def __init__(self, extensions: Sequence[Extension]) -> None:
         """Raises ValueError if a part claims keys that are the core's or another part's."""
         taken = [store.WATCHED, store.FLEET]
-        for part in parts:
-            if any(part.prefix.startswith(other) or other.startswith(part.prefix) for other in taken):
-                raise ValueError(f"{part.name}: keys below {part.prefix!r} are taken")
-            taken.append(part.prefix)
-        self._parts = parts
+        for extension in extensions:
+            if any(extension.prefix.startswith(other) or other.startswith(extension.prefix) for other in taken):
+                raise ValueError(f"{extension.name}: keys below {extension.prefix!r} are taken")
+            taken.append(extension.prefix)
+        self._extensions = extensions
 
     def names(self) -> list[str]:
-        return [part.name for part in self._parts]
+        return [extension.name for extension in self._extensions]
 
     async def handle(self, request: Request, operators: bool = False) -> Response | None:
         """The answer of the part that has this path on this listener; None if no part has."""
         path = request.path.partition("?")[0]
-        for part in self._parts:
-            paths = part.operators_paths if operators else part.paths
+        for extension in self._extensions:
+            paths = extension.operator_paths if operators else extension.paths
             if any(path == own or path.startswith(own + "/") for own in paths):
-                return await self._guarded(part, request)
+                return await self._handle_isolated(extension, request)
         return None
 
     def listener(self, leader: "Leader") -> Listener:
         """All who listen to this term, as one."""
         listeners: list[tuple[str, Listener]] = []
-        for part in self._parts:
+        for extension in self._extensions:
             try:
-                found = part.listen(leader)
+                found = extension.create_listener(leader)
             except Exception:
-                log.exception("%s does not listen", part.name)
+                log.exception("%s does not listen", extension.name)
                 continue
             if found is not None:
-                listeners.append((part.name, found))
-        return Guarded(listeners) if listeners else Nobody()
+                listeners.append((extension.name, found))
+        return IsolatingListener(listeners) if listeners else Nobody()
 
-    async def _guarded(self, part: Part, request: Request) -> Response:
+    async def _handle_isolated(self, extension: Extension, request: Request) -> Response:
         try:
-            return await part.handle(request)
+            return await extension.handle(request)
         except Exception:
-            log.exception("%s: %s %s failed", part.name, request.method, request.path)
-            return Response(500, {"error": f"{part.name} failed"})
+            log.exception("%s: %s %s failed", extension.name, request.method, request.path)
+            return Response(500, {"error": f"{extension.name} failed"})
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
-            for part in self._parts:
-                nursery.start_soon(self._again, part.name, part.run)
+            for extension in self._extensions:
+                nursery.start_soon(self._run_with_restart, extension.name, extension.run)
 
-    async def _again(self, name: str, loop: Callable[[], Awaitable[None]]) -> None:
+    async def _run_with_restart(self, name: str, loop: Callable[[], Awaitable[None]]) -> None:
         while True:
             try:
                 await loop()
@@ -134,17 +134,17 @@
                 log.exception("%s failed; it is started again", name)
             await trio.sleep(c.PART_PAUSE_S)
 
-    async def lead(self, term: Term) -> None:
+    async def run_while_leading(self, term: Term) -> None:
         """Ends soon after the term."""
         async with trio.open_nursery() as nursery:
-            for part in self._parts:
-                nursery.start_soon(self._again, part.name, partial(part.lead, term))
+            for extension in self._extensions:
+                nursery.start_soon(self._run_with_restart, extension.name, partial(extension.run_while_leading, term))
             while not term.over:
                 await trio.sleep(c.TICK_S)
             nursery.cancel_scope.cancel()
 
 
-class Guarded:
+class IsolatingListener:
     """Tells several; one that raises is logged and told nothing more in this term."""
 
     def __init__(self, listeners: list[tuple[str, Listener]]) -> None:
--- a/pepperlatch/pipelines/part.py
+++ b/pepperlatch/pipelines/part.py
@@ -10,8 +10,8 @@
 
 from pepperlatch import features
 from pepperlatch.constants import pipelines as c
+from pepperlatch.controller.extensions import Extension, ExtensionContext
 from pepperlatch.controller.leadership import Term
-from pepperlatch.controller.parts import Core, Part
 from pepperlatch.controller.users import later
 from pepperlatch.pipelines import keys
 from pepperlatch.protocol.http.server import Request, Response
@@ -21,12 +21,12 @@
     from pepperlatch.pipelines.service import Service
 
 
-class Pipelines(Part):
+class Pipelines(Extension):
     name = "pipelines"
     prefix = keys.PREFIX
     paths: Sequence[str] = ("/pipelines", "/schedules")
 
-    def __init__(self, core: Core, wanted: features.Pipelines) -> None:
+    def __init__(self, core: ExtensionContext, wanted: features.Pipelines) -> None:
         self._core = core
         self._wanted = wanted
         self._made: Service | None = None
@@ -59,7 +59,7 @@
         finally:
             self._nursery = self._made = None
 
-    async def lead(self, term: Term) -> None:
+    async def run_while_leading(self, term: Term) -> None:
         """Take up runs that lie still (their node died, or was cut off, before it was through), and run what is due."""
         lying: set[str] = set()
         while not term.over:
--- a/pepperlatch/pipelines/scheduler.py
+++ b/pepperlatch/pipelines/scheduler.py
@@ -12,7 +12,7 @@
 import orjson
 
 from pepperlatch.constants import pipelines as c
-from pepperlatch.controller.parts import Core
+from pepperlatch.controller.extensions import ExtensionContext
 from pepperlatch.controller.users import later
 from pepperlatch.pipelines import keys, runs, schedules
 from pepperlatch.pipelines import plan as plans
@@ -33,7 +33,7 @@
 
 
 class Scheduler:
-    def __init__(self, service: "Service", core: Core) -> None:
+    def __init__(self, service: "Service", core: ExtensionContext) -> None:
         self._service = service
         self._state = core.state
         self._wall = core.wall
--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -19,7 +19,7 @@
 from pepperlatch.constants import core
 from pepperlatch.constants import pipelines as c
 from pepperlatch.controller import store
-from pepperlatch.controller.parts import Core
+from pepperlatch.controller.extensions import ExtensionContext
 from pepperlatch.controller.users import Impossible, Malformed, later
 from pepperlatch.pipelines import keys, runs
 from pepperlatch.pipelines import plan as plans
@@ -56,7 +56,7 @@
 class Service:
     """Lives as long as `nursery`, in which runs are brought on."""
 
-    def __init__(self, core: Core, wanted: features.Pipelines, nursery: trio.Nursery) -> None:
+    def __init__(self, core: ExtensionContext, wanted: features.Pipelines, nursery: trio.Nursery) -> None:
         self._core = core
         self._state = core.state
         self._limits = core.settings.params.state
