--- a/pepperlatch/controller/vouching.py
+++ b/pepperlatch/controller/attestation.py
@@ -2,7 +2,7 @@
 
 A leader may keep tasks alive for G after its copy was proven current, for others may have confirmed cancellations
 since. Only controllers confirm them. So a leader that hears from every other one what that one may have told users,
-and that none of them leads, knows as much as a reading would have told it, and G begins anew ("Vouching" in
+and that none of them leads, knows as much as a reading would have told it, and G begins anew ("PeerAttestation" in
 `docs/safety.md`).
 """
 
@@ -24,30 +24,30 @@
 from pepperlatch.settings import Peer
 
 log = logging.getLogger(__name__)
-PEER_VOUCH, PEER_CANCELLED = "/peer/vouch", "/peer/cancelled"
+PEER_ATTEST, PEER_CANCELLED = "/peer/vouch", "/peer/cancelled"
 
 
-class Question(msgspec.Struct):
+class AttestationRequest(msgspec.Struct):
     token: int
     revision: int  # up to which the asking leader has read
 
 
-class Cancelled(msgspec.Struct):
+class CancelledJob(msgspec.Struct):
     id: str
     record: dict[str, Any]
     version: int
 
 
-class Statement(msgspec.Struct):
+class Attestation(msgspec.Struct):
     """Of one controller: who leads, as far as it knows, and what it may have told users."""
 
     token: int  # 0: nobody
-    cancelled: list[Cancelled]
+    cancelled: list[CancelledJob]
     whole: bool  # whether these are all jobs cancelled since the leader's reading that it or a life before it knew of
     more: bool = False  # there are later ones than these, to be asked for by the last revision given
 
 
-class Vouching:
+class PeerAttestation:
     def __init__(
         self, network: Network, peers: list[Peer], watcher: store.StateWatcher, leadership: Leadership,
         clock: Callable[[], float],
@@ -61,14 +61,14 @@
 
     # --- being asked ------------------------------------------------------------------------------
 
-    def serve(self, body: bytes) -> Response:
+    def serve_request(self, body: bytes) -> Response:
         try:
-            question = wire.convert(orjson.loads(body), Question)
+            question = wire.convert(orjson.loads(body), AttestationRequest)
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
             return Response(400, {"error": str(error)})
-        return Response(200, wire.to_plain(self._statement(question)))
+        return Response(200, wire.to_plain(self._attest(question)))
 
-    def _statement(self, question: Question) -> Statement:
+    def _attest(self, question: AttestationRequest) -> Attestation:
         held, term = self._replica.leader, self._leadership.term
         leads = [term.token] if term is not None and not term.over else []
         token = max([held[1] if held is not None else 0, *leads])
@@ -76,18 +76,18 @@
         shown = found or []
         last = shown[: c.VOUCH_MOST][-1][0] if shown else 0  # a revision may cancel several: all of them or none
         rows = [
-            Cancelled(job_id, wire.to_plain(self._replica.jobs[job_id].record), version)
+            CancelledJob(job_id, wire.to_plain(self._replica.jobs[job_id].record), version)
             for version, job_id in shown
             if version <= last
         ]
         # Whoever has read all keys knows what an earlier process of this node told users.
         known, more = self._replica.loaded and found is not None, len(rows) < len(shown)
-        return Statement(token, rows, known and not more, known and more)
+        return Attestation(token, rows, known and not more, known and more)
 
     def serve_cancelled(self, body: bytes) -> Response:
         """Another controller has had a cancellation confirmed, and tells this one before it tells the user."""
         try:
-            row = wire.convert(orjson.loads(body), Cancelled)
+            row = wire.convert(orjson.loads(body), CancelledJob)
             record = wire.convert(row.record, store.JobRecord)
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
             return Response(400, {"error": str(error)})
@@ -98,15 +98,15 @@
 
     # --- asking -----------------------------------------------------------------------------------
 
-    async def ask(self, term: Term) -> None:
+    async def request_attestations(self, term: Term) -> None:
         """Have the others vouch for this leader's copy. Cancelled, what some have told is known, and proves nothing."""
         sent = self._clock()
-        statements: list[Statement] = []
+        statements: list[Attestation] = []
 
         async def one(peer: Peer) -> None:
             revision = self._replica.revision
             while True:
-                statement = await self._ask(peer, Question(term.token, revision))
+                statement = await self._request_one(peer, AttestationRequest(term.token, revision))
                 if statement is None:
                     return
                 rows = statement.cancelled
@@ -124,9 +124,9 @@
             log.info("another controller knows a later leader than %d", term.token)
             term.over = True
         elif len(statements) == len(self._peers) and all(statement.whole for statement in statements):
-            term.vouched_at = max(term.vouched_at, sent)
+            term.attested_at = max(term.attested_at, sent)
 
-    async def tell(self, job_id: str, record: store.JobRecord, version: int) -> None:
+    async def notify_leader(self, job_id: str, record: store.JobRecord, version: int) -> None:
         """Let the leader know of a cancellation before its user does, so that it starts nothing of it any more.
 
         Seldom more than a few ms; a leader that does not answer has it from its watch. Cancelled, it may know or not.
@@ -135,15 +135,15 @@
         peer = next((p for p in self._peers if held is not None and p.node == held[0]), None)
         if peer is None:
             return
-        body = wire.to_plain(Cancelled(job_id, wire.to_plain(record), version))
+        body = wire.to_plain(CancelledJob(job_id, wire.to_plain(record), version))
         with contextlib.suppress(NotSent, Lost):
             await self._network.request(peer.addr, "POST", PEER_CANCELLED, body, c.TELL_S)
 
-    async def _ask(self, peer: Peer, question: Question) -> Statement | None:
+    async def _request_one(self, peer: Peer, question: AttestationRequest) -> Attestation | None:
         try:
             body = wire.to_plain(question)
-            status, answer = await self._network.request(peer.addr, "POST", PEER_VOUCH, body, c.PROBE_S)
-            statement: Statement | None = wire.convert(answer, Statement) if status == 200 else None
+            status, answer = await self._network.request(peer.addr, "POST", PEER_ATTEST, body, c.PROBE_S)
+            statement: Attestation | None = wire.convert(answer, Attestation) if status == 200 else None
             return statement
         except (NotSent, Lost, msgspec.ValidationError):
             return None
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -12,13 +12,13 @@
 import trio
 
 from pepperlatch.constants import core as c
+from pepperlatch.controller.attestation import PeerAttestation
 from pepperlatch.controller.command_loop import CommandLoop, Reply
 from pepperlatch.controller.heartbeats.handler import HeartbeatHandler, LeaderContact
 from pepperlatch.controller.leader import Leader
 from pepperlatch.controller.leaderless import LeaderlessReturns
 from pepperlatch.controller.leadership import Leadership
 from pepperlatch.controller.store import Replica
-from pepperlatch.controller.vouching import Vouching
 from pepperlatch.policy.cancellations import CancelledOn
 from pepperlatch.policy.delegation import DelegationAnswer, DelegationStatement
 from pepperlatch.policy.images import ImageMemory
@@ -57,8 +57,8 @@
 
     def __init__(
         self, settings: Settings, network: Network, clock: Callable[[], float], command_loop: CommandLoop,
-        replica: Replica, heartbeats: HeartbeatHandler, leadership: Leadership, vouching: Vouching, images: ImageMemory,
-        leader: Callable[[], Leader | None], leaderless: LeaderlessReturns,
+        replica: Replica, heartbeats: HeartbeatHandler, leadership: Leadership, attestation: PeerAttestation,
+        images: ImageMemory, leader: Callable[[], Leader | None], leaderless: LeaderlessReturns,
     ) -> None:  # fmt: skip
         self._settings = settings
         self._network = network
@@ -67,7 +67,7 @@
         self._replica = replica
         self._heartbeats = heartbeats
         self._leadership = leadership
-        self._vouching = vouching
+        self._attestation = attestation
         self._images = images
         self._leader = leader
         self._leaderless = leaderless
@@ -139,7 +139,7 @@
                     for peer in self._settings.peers:
                         nursery.start_soon(self._bar, leader, peer, message)
                     if self._clock() - self._replica.current_at > c.VOUCH_AFTER_S:
-                        nursery.start_soon(self._vouching.ask, leader.term)
+                        nursery.start_soon(self._attestation.request_attestations, leader.term)
                 if why := self._cannot_lead(leader):
                     log.info("%s: it hands over", why)
                     await self._leadership.resign(c.HANDOVER_PAUSE_S)
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -13,6 +13,7 @@
 from pepperlatch import __version__
 from pepperlatch.constants import core as c
 from pepperlatch.controller.admin import Admin
+from pepperlatch.controller.attestation import PEER_ATTEST, PEER_CANCELLED, PeerAttestation
 from pepperlatch.controller.command_loop import CommandLoop
 from pepperlatch.controller.contacts import PEER_BAR, PEER_CONTACT, Contacts
 from pepperlatch.controller.heartbeats.forwarding import PEER_HEARTBEAT, PEER_HEARTBEATS
@@ -24,7 +25,6 @@
 from pepperlatch.controller.peers import PEER_FENCE, PEER_INSPECT, Peers
 from pepperlatch.controller.store import Replica, StateWatcher
 from pepperlatch.controller.users import Progress, Users
-from pepperlatch.controller.vouching import PEER_CANCELLED, PEER_VOUCH, Vouching
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.reasons import Reason, Why
 from pepperlatch.protocol import wire
@@ -64,12 +64,12 @@
         self.watcher = StateWatcher(self.state, self.replica, self._changed)
         hold_s = hold_seconds(params.workers.cancel_s, params.workers.lease_s)
         self.leadership = Leadership(settings.node, self.state, self.replica, hold_s, clock, seed)
-        self.vouching = Vouching(network, settings.peers, self.watcher, self.leadership, clock)
+        self.attestation = PeerAttestation(network, settings.peers, self.watcher, self.leadership, clock)
         self.command_loop = CommandLoop(self._settle, c.TICK_S / 5)
         self.heartbeats = HeartbeatHandler(
             settings, network, clock, self.command_loop, self.replica, self.state, hold_s, lambda: self.leader
         )
-        self.users = Users(settings, self.watcher, self.state, wall, self._progress, self.vouching.tell)
+        self.users = Users(settings, self.watcher, self.state, wall, self._progress, self.attestation.notify_leader)
         self.admin = Admin(self.watcher, self.state, self.view)
         core = Core(
             settings, self.users, self.watcher, self.state, wall, clock, network, lambda: self.leader,
@@ -81,8 +81,8 @@
             params.workers, clock, self.replica, lambda: self.leader is not None, self.workers, self.peers, self.cloud
         )
         self.contacts = Contacts(
-            settings, network, clock, self.command_loop, self.replica, self.heartbeats, self.leadership, self.vouching,
-            self.images, lambda: self.leader, self.leaderless,
+            settings, network, clock, self.command_loop, self.replica, self.heartbeats, self.leadership,
+            self.attestation, self.images, lambda: self.leader, self.leaderless,
         )  # fmt: skip
         self.leader: Leader | None = None
         self._nursery: trio.Nursery | None = None
@@ -171,10 +171,10 @@
             return await self.peers.serve(request)
         if request.path == PEER_BAR and request.method == "POST":
             return self.contacts.serve_bar(request.body)
-        if request.path == PEER_VOUCH and request.method == "POST":
-            return self.vouching.serve(request.body)
+        if request.path == PEER_ATTEST and request.method == "POST":
+            return self.attestation.serve_request(request.body)
         if request.path == PEER_CANCELLED and request.method == "POST":
-            return self.vouching.serve_cancelled(request.body)
+            return self.attestation.serve_cancelled(request.body)
         if request.path == PEER_HEALTH:
             state = self.replica.loaded and await self._state_answers()
             return Response(200, {"state": state, "leader": self.heartbeats.hears_leader()})
--- a/pepperlatch/controller/leadership.py
+++ b/pepperlatch/controller/leadership.py
@@ -33,7 +33,7 @@
     replica: store.Replica
     over: bool = False
     answered_since: float = -math.inf  # no gap in the checks since then
-    vouched_at: float = -math.inf  # the others were asked then, and made the copy as current as a reading
+    attested_at: float = -math.inf  # the others were asked then, and made the copy as current as a reading
 
     def sure(self, now: float) -> bool:
         """The lease cannot have ended yet: what cannot be taken back is allowed."""
@@ -43,7 +43,7 @@
 
     def proven_at(self) -> float:
         """All that was confirmed before then is known here, by a reading or by what every other controller said."""
-        return max(self.replica.current_at, self.vouched_at)
+        return max(self.replica.current_at, self.attested_at)
 
     def may_answer(self, now: float) -> bool:
         """Heartbeats may be answered and tasks launched: what we keep alive is gone before a cancellation's bound.
