--- a/pepperlatch/command/console.py
+++ b/pepperlatch/command/console.py
@@ -31,7 +31,7 @@
 
 def _asking(talk: Any, timeout_s: float, say: Any) -> Ask:
     """Compressed answers, one node after the other; what cannot be had is said by the mirror's own exceptions."""
-    network = HttpNetwork(core.CLIENT_CONNECTIONS, gzip=True)
+    network = HttpNetwork(core.MAX_CLIENT_CONNECTIONS, gzip=True)
     service = Service(talk.service.nodes, timeout_s, say, network)
 
     async def ask(method: str, path: str) -> tuple[int, Any]:
@@ -57,7 +57,7 @@
     if not sys.stdout.isatty():
         output.say("not a terminal: use --once")
         return REFUSED
-    mirror = Mirror(_asking(talk, c.STALE_S / 2, lambda text: None), query)
+    mirror = Mirror(_asking(talk, c.STALE_AFTER_S / 2, lambda text: None), query)
     run(lambda show: Feed(mirror, Wants(query), show), zone)
     return OK
 
@@ -92,7 +92,7 @@
     zone = zone_of(zone_name)
     mirror = Mirror(_asking(talk, talk.service.timeout_s, output.say))
     try:
-        content = trio.run(page.gather, mirror, 0 if members else c.REPORT_LINES)
+        content = trio.run(page.gather, mirror, 0 if members else c.MAX_REPORT_TIMELINES)
     except Silent as error:
         raise NoAnswer(str(error)) from None
     except (Refused, BadQuery) as error:
--- a/pepperlatch/command/pipelines.py
+++ b/pepperlatch/command/pipelines.py
@@ -29,20 +29,20 @@
     from pepperlatch.pipelines.compile import compiled
     from pepperlatch.pipelines.document import Mistakes
 
-    data = sys.stdin.buffer.read(c.FILE_BYTES + 1) if file == "-" else _bytes(file)
+    data = sys.stdin.buffer.read(c.MAX_FILE_BYTES + 1) if file == "-" else _bytes(file)
     try:
         return compiled(data, key, preferences.load().team if team is None else team)
     except Mistakes as error:
-        for mistake in error.found[: c.ERRORS_SHOWN]:
+        for mistake in error.found[: c.MAX_ERRORS_SHOWN]:
             click.echo(mistake.line("standard input" if file == "-" else file), err=True)
-        if (more := len(error.found) - c.ERRORS_SHOWN) > 0:
+        if (more := len(error.found) - c.MAX_ERRORS_SHOWN) > 0:
             click.echo(f"and {more} more", err=True)
         raise click.exceptions.Exit(USAGE) from None
 
 
 def _bytes(file: str) -> bytes:
     with Path(file).open("rb") as opened:
-        return opened.read(c.FILE_BYTES + 1)
+        return opened.read(c.MAX_FILE_BYTES + 1)
 
 
 def show_plan(plan: plans.Plan, form: str) -> int:
@@ -76,8 +76,8 @@
 
 def _packed(plan: plans.Plan) -> str:
     packed = plans.pack(plan)
-    if len(packed) > c.PACKED_CHARS:
-        raise ValueError(f"the plan is {len(packed)} characters packed; at most {c.PACKED_CHARS} are taken")
+    if len(packed) > c.MAX_PACKED_PLAN_CHARS:
+        raise ValueError(f"the plan is {len(packed)} characters packed; at most {c.MAX_PACKED_PLAN_CHARS} are taken")
     return packed
 
 
--- a/pepperlatch/command/preferences.py
+++ b/pepperlatch/command/preferences.py
@@ -32,7 +32,7 @@
     admin_nodes: list[str] = []
     team: str = ""
     output: Literal["table", "json"] = "table"
-    timeout_s: float = c.USER_GIVES_UP_S
+    timeout_s: float = c.MAX_USER_RETRY_S
 
 
 VARIABLES = {
--- a/pepperlatch/command/service.py
+++ b/pepperlatch/command/service.py
@@ -27,7 +27,7 @@
     nodes: Sequence[str]
     timeout_s: float
     say: Callable[[str], None]
-    network: Any = field(default_factory=lambda: HttpNetwork(c.CLIENT_CONNECTIONS))
+    network: Any = field(default_factory=lambda: HttpNetwork(c.MAX_CLIENT_CONNECTIONS))
     _next: int = 0
 
     def __post_init__(self) -> None:
@@ -48,7 +48,7 @@
             tried += 1
             self._next += 1
             left = until - trio.current_time()
-            if tried % len(self.nodes) and pause <= c.USER_PAUSE_S:
+            if tried % len(self.nodes) and pause <= c.MIN_USER_RETRY_PAUSE_S:
                 pause = 0.0  # the others first
             if left <= pause:
                 raise NoAnswer(why)
@@ -59,18 +59,18 @@
         self, node: str, method: str, path: str, body: Any, until: float
     ) -> tuple[tuple[int, Any] | None, float, str]:
         """A final answer, or how long to wait and why there is none."""
-        seconds = min(c.USER_WAITS_S, max(0.1, until - trio.current_time()))
+        seconds = min(c.USER_REQUEST_TIMEOUT_S, max(0.1, until - trio.current_time()))
         try:
             status, retry_after, answer = await self.network.ask(node, method, path, body, seconds)
         except NotSent:
-            return None, c.USER_PAUSE_S, f"{node} cannot be reached"
+            return None, c.MIN_USER_RETRY_PAUSE_S, f"{node} cannot be reached"
         except Lost:
-            return None, c.USER_PAUSE_S, f"{node} gave no answer"
+            return None, c.MIN_USER_RETRY_PAUSE_S, f"{node} gave no answer"
         if status not in LATER:
             return (status, answer), 0.0, ""
-        pause = min(float(retry_after), c.RETRY_AFTER_MOST_S) if retry_after.isdigit() else c.USER_PAUSE_S
+        pause = min(float(retry_after), c.MAX_RETRY_AFTER_S) if retry_after.isdigit() else c.MIN_USER_RETRY_PAUSE_S
         text = answer.get("error") or answer.get("phase") if isinstance(answer, dict) else None
-        return None, max(pause, c.USER_PAUSE_S), f"{node}: {status} {text or ''}".rstrip()
+        return None, max(pause, c.MIN_USER_RETRY_PAUSE_S), f"{node}: {status} {text or ''}".rstrip()
 
 
 async def follow(service: Service, path: str, over: Callable[[Any], bool], show: Callable[[Any], None]) -> Any:
@@ -82,7 +82,7 @@
         show(answer)
         if over(answer):
             return answer
-        await trio.sleep(c.USER_POLL_S)
+        await trio.sleep(c.USER_POLL_INTERVAL_S)
 
 
 def job_over(answer: Any) -> bool:
--- a/pepperlatch/console/accounts.py
+++ b/pepperlatch/console/accounts.py
@@ -89,7 +89,7 @@
 class Cause:
     lost: int = 0
     back: int = 0
-    spans: deque[float] = field(default_factory=lambda: deque(maxlen=c.SAMPLES_KEPT))
+    spans: deque[float] = field(default_factory=lambda: deque(maxlen=c.MAX_SAMPLES_KEPT))
     longest: float = 0.0
 
 
@@ -104,11 +104,11 @@
     def ended(self, attempt: Attempt, cause: str, now: float) -> None:
         if cause in NO_LOSS or attempt.running_at is None:
             return
-        label = cause.split(" run-")[0][: c.CAUSE_CHARS]  # "stopped for run-..." is one cause, not one for each job
-        if label not in self.causes and len(self.causes) >= c.SAMPLES_KEPT:
+        label = cause.split(" run-")[0][: c.MAX_CAUSE_CHARS]  # "stopped for run-..." is one cause, not one for each job
+        if label not in self.causes and len(self.causes) >= c.MAX_SAMPLES_KEPT:
             label = "other"
         self.causes.setdefault(label, Cause()).lost += 1
-        if self._count < c.LOSSES_MOST:
+        if self._count < c.MAX_LOSSES:
             self._close(attempt)
             self._open.setdefault(attempt.job.spec.id, {})[attempt.task] = (now, label)
             self._count += 1
--- a/pepperlatch/console/feed.py
+++ b/pepperlatch/console/feed.py
@@ -56,7 +56,7 @@
         while True:
             self._wake = trio.Event()
             self._show(await self.look())
-            with trio.move_on_after(c.POLL_S):
+            with trio.move_on_after(c.CONSOLE_POLL_INTERVAL_S):
                 await self._wake.wait()
 
     async def look(self) -> Shown:
@@ -67,7 +67,7 @@
         listed: list[dict[str, Any]] = []
         try:
             await mirror.step()
-            if trio.current_time() - self._looked_at >= c.OVERVIEW_S:
+            if trio.current_time() - self._looked_at >= c.OVERVIEW_INTERVAL_S:
                 await mirror.look_over()
                 self._looked_at = trio.current_time()
             if wants.view == "job" and wants.job:
--- a/pepperlatch/console/mirror.py
+++ b/pepperlatch/console/mirror.py
@@ -37,7 +37,9 @@
     """
 
     ask: Ask
-    query: Query = field(default_factory=lambda: Query(state="unfinished", page=c.PAGE_MOST, most=c.CONSOLE_BYTES))
+    query: Query = field(
+        default_factory=lambda: Query(state="unfinished", page=c.MAX_PAGE_ROWS, most=c.MAX_CONSOLE_ANSWER_BYTES)
+    )
     head: dict[str, Any] = field(default_factory=dict)
     rows: dict[str, JobRow] = field(default_factory=dict)
     overview: dict[str, Any] = field(default_factory=dict)
@@ -57,14 +59,14 @@
                 await self.load(most)
                 if self.head["token"] == first["token"]:  # else another leader begins anew
                     return
-            await trio.sleep(c.POLL_S / 2)
+            await trio.sleep(c.CONSOLE_POLL_INTERVAL_S / 2)
 
     async def load(self, most: int = 1_000_000) -> None:
         """Take a snapshot of up to so many jobs. What its leader has not taken in yet comes with the changes.
 
         Raises Silent or Refused.
         """
-        for _ in range(c.SNAPSHOT_TRIES):
+        for _ in range(c.MAX_SNAPSHOT_TRIES):
             pages = await self._pages(most)
             if pages is not None:
                 first, self.rows = pages
@@ -100,7 +102,7 @@
         try:
             status, answer = await self.ask("GET", path)
         except Silent:
-            if trio.current_time() - self.answered_at > c.STALE_S:  # by now, records may be all there is
+            if trio.current_time() - self.answered_at > c.STALE_AFTER_S:  # by now, records may be all there is
                 self._since = -1
             raise
         if status == 410:
@@ -137,7 +139,7 @@
         """Why what is shown may be old; empty if it is not."""
         if self.why_stale:
             return self.why_stale
-        if trio.current_time() - self.answered_at > c.STALE_S:
+        if trio.current_time() - self.answered_at > c.STALE_AFTER_S:
             return "no answer"
         return ""
 
--- a/pepperlatch/console/part.py
+++ b/pepperlatch/console/part.py
@@ -86,7 +86,7 @@
                 from pepperlatch.console.public import Public
 
                 host, port = split_address(self._wanted.public.listen)
-                server = Server(Public(self._views(), self._wanted.public).handle, c.PUBLIC_CONNECTIONS)
+                server = Server(Public(self._views(), self._wanted.public).handle, c.MAX_PUBLIC_CONNECTIONS)
                 nursery.start_soon(server.serve, host, port)
             await self._looked.wait()
             await self._views().run()
@@ -102,9 +102,9 @@
         saving = Saving(self._core, leader, recorder)
         await saving.restore()
         while not term.over:
-            until = self._core.clock() + c.SAVE_EVERY_S
+            until = self._core.clock() + c.SAVE_INTERVAL_S
             while self._core.clock() < until and not term.over:
-                await trio.sleep(c.MONEY_EVERY_S)
+                await trio.sleep(c.SPENDING_INTERVAL_S)
                 recorder.money.sample(leader.cluster.machines.values(), self._core.clock())
             try:
                 await saving.save()
--- a/pepperlatch/console/public.py
+++ b/pepperlatch/console/public.py
@@ -27,7 +27,7 @@
 
     def word(self, job_id: str) -> str:
         digest = hashlib.blake2b(job_id.encode("utf-8"), key=self._key).hexdigest()
-        return f"job-{digest[: c.WORD_DIGITS]}"
+        return f"job-{digest[: c.PSEUDONYM_DIGITS]}"
 
     def text(self, text: str) -> str:
         return text if self._names else _IDS.sub(lambda found: self.word(found[0]), text)
@@ -84,6 +84,6 @@
             return ""
         word = self._hidden.word(after)
         self._pages[word] = after
-        while len(self._pages) > c.PAGES_KEPT:
+        while len(self._pages) > c.MAX_PUBLIC_PAGES:
             del self._pages[next(iter(self._pages))]
         return word
--- a/pepperlatch/console/recorder.py
+++ b/pepperlatch/console/recorder.py
@@ -36,10 +36,10 @@
         self._accepted_at = accepted_at
         self._over = over
         self.began = wall()  # time of day
-        self.history = History(float(int(self.began - c.BEFORE_S)))
+        self.history = History(float(int(self.began - c.MAX_JOB_AGE_S)))
         self.money = Money(now, now)
         self.recoveries = Recoveries()
-        self.events: deque[Occurrence] = deque(maxlen=c.EVENTS_KEPT)
+        self.events: deque[Occurrence] = deque(maxlen=c.MAX_EVENTS_KEPT)
         self.dirty: set[str] | None = None  # rows to be made anew; None while nobody looks
         self.changed = 0  # records written; tells whether there is something new to save
 
--- a/pepperlatch/console/report.py
+++ b/pepperlatch/console/report.py
@@ -35,15 +35,15 @@
     events: list[dict[str, Any]] = field(default_factory=list)
 
 
-async def gather(mirror: Mirror, lines: int = c.REPORT_LINES) -> Content:
+async def gather(mirror: Mirror, lines: int = c.MAX_REPORT_TIMELINES) -> Content:
     """Ask for everything once. Raises Silent or Refused if nobody answers for the jobs; the rest may be missing."""
-    await mirror.complete(c.SEARCH_ROWS + 1)
+    await mirror.complete(c.MAX_REPORT_JOBS + 1)
     rows = sorted(mirror.rows.values(), key=picture.first_wanted)
-    content = Content(dict(mirror.head), rows[: c.SEARCH_ROWS], {}, mirror.stale())
+    content = Content(dict(mirror.head), rows[: c.MAX_REPORT_JOBS], {}, mirror.stale())
     await mirror.look_over()
     content.overview = dict(mirror.overview)
     total = sum(content.overview.get("states", {}).values())
-    content.left_out = max(0, total - len(content.rows)) if len(rows) > c.SEARCH_ROWS else 0
+    content.left_out = max(0, total - len(content.rows)) if len(rows) > c.MAX_REPORT_JOBS else 0
     if not content.stale:
         content.events = await mirror.part("events")
         waiting = [row for row in content.rows if row.waiting][:lines]
@@ -143,7 +143,7 @@
         ("What is waited for", picture.WAIT_COLUMNS, picture.wait_cells(overview.get("waits", []), now)),
         ("Teams", picture.TEAM_COLUMNS, picture.team_cells(overview.get("teams", []))),
         ("Recoveries", picture.RECOVERY_COLUMNS, picture.recovery_cells(overview.get("recoveries", []))),
-        ("Events", picture.EVENT_COLUMNS, picture.event_cells(content.events[: c.REPORT_EVENTS], zone)),
+        ("Events", picture.EVENT_COLUMNS, picture.event_cells(content.events[: c.MAX_REPORT_EVENTS], zone)),
     ]
     if money:
         title = f"Money of the last {picture.span(money['over_s'])}"
--- a/pepperlatch/console/rows.py
+++ b/pepperlatch/console/rows.py
@@ -61,7 +61,7 @@
     "due": lambda row: row.due if row.due is not None else 1e18,
 }
 _PLAIN = ("team", "class", "text")
-_NUMBERS = {"page": (1, c.PAGE_MOST), "most": (1000, 1_000_000)}
+_NUMBERS = {"page": (1, c.MAX_PAGE_ROWS), "most": (1000, 1_000_000)}
 
 
 class Query(msgspec.Struct, frozen=True):
@@ -74,8 +74,8 @@
     why: str = ""
     text: str = ""
     sort: str = "since"
-    page: int = c.PAGE
-    most: int = c.CHANGES_BYTES
+    page: int = c.DEFAULT_PAGE_ROWS
+    most: int = c.DEFAULT_CHANGES_BYTES
     after: str = ""
 
     def takes(self, row: JobRow) -> bool:
--- a/pepperlatch/console/saving.py
+++ b/pepperlatch/console/saving.py
@@ -44,7 +44,7 @@
         self._first_slot = 0
         limits = core.settings.params.state
         self._piece = int(limits.value_kb * 1024) - core_slack()
-        self._pieces = max(1, min(c.SAVE_VALUES, limits.txn_ops))
+        self._pieces = max(1, min(c.MAX_SAVE_VALUES, limits.txn_ops))
 
     # --- taking over --------------------------------------------------------------------------------
 
@@ -55,7 +55,7 @@
                 _, pairs = await self._core.state.read_all(PREFIX)
                 break
             except (Away, Unsure):
-                await trio.sleep(c.SAVE_POLL_S)
+                await trio.sleep(c.SAVE_BUDGET_POLL_S)
         else:
             return
         found = sorted(_savings(pairs), key=lambda saving: saving[0], reverse=True)
@@ -102,7 +102,7 @@
     async def _write(self, key: str, piece: Piece) -> bool:
         """Only while this leader leads, and only when nobody waits for the budget."""
         while self._core.state.writes_spare() < 1:
-            await trio.sleep(c.SAVE_POLL_S)
+            await trio.sleep(c.SAVE_BUDGET_POLL_S)
             if self._leader.term.over:
                 return False
         lead = wire.when(store.LEADER, self._leader.term.token)
@@ -116,7 +116,7 @@
 
 def core_slack() -> int:
     """Bytes of a value that are not the piece's text."""
-    return core.VALUE_SLACK_BYTES + 96
+    return core.VALUE_OVERHEAD_BYTES + 96
 
 
 def _savings(pairs: list[wire.KeyValue]) -> list[tuple[tuple[int, int], int, bytes]]:
@@ -133,7 +133,7 @@
 
 def _whole(slot: int, pieces: dict[int, Piece]) -> tuple[tuple[int, int], int, bytes] | None:
     first: Any = pieces.get(0)
-    if first is None or not 1 <= first.of <= c.SAVE_VALUES:
+    if first is None or not 1 <= first.of <= c.MAX_SAVE_VALUES:
         return None
     row = [pieces.get(n) for n in range(first.of)]
     if any(piece is None or (piece.token, piece.number) != (first.token, first.number) for piece in row):
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -74,17 +74,17 @@
         """While somebody looks, take in what is much a part at a time; without a viewer keep no rows."""
         while True:
             model, now = self._leading(), self._core.clock()
-            if model is None or now - self._asked_at > c.IDLE_S:
+            if model is None or now - self._asked_at > c.VIEW_IDLE_TIMEOUT_S:
                 if self._model is not None and self._model.rows:
                     self._model.forget()
                     self._kept.clear()
-                await trio.sleep(c.REFRESH_S)
+                await trio.sleep(c.MIN_REFRESH_INTERVAL_S)
                 continue
             enough = self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2  # answers go first
             if model.pending() and enough and not model.leader.owner.long():
                 with self._charged(now):
                     model.refresh()
-            await trio.sleep(c.ROWS_PAUSE_S)
+            await trio.sleep(c.ROW_BATCH_PAUSE_S)
 
     def _leading(self) -> Model | None:
         model, leader = self._model, self._core.leading()
@@ -99,20 +99,20 @@
         key = f"{path}?{text}"
         kept = self._kept.get(key)
         whole = path == f"{BASE}/jobs" and kept is not None and not kept.answer["pending"]
-        keep_s = c.PAGE_KEPT_S if whole else c.REFRESH_S
+        keep_s = c.PAGE_CACHE_S if whole else c.MIN_REFRESH_INTERVAL_S
         if kept is not None and now - kept.made_at < keep_s and kept.token == model.leader.term.token:
             return kept
         if self._budget.available(now) <= 0 or model.leader.owner.long():
-            if kept is not None and now - kept.made_at < c.AGE_MOST_S:
+            if kept is not None and now - kept.made_at < c.MAX_ANSWER_AGE_S:
                 older = {**kept.answer, "age_s": round(now - kept.made_at, 1), "busy": True}
                 return _Kept(kept.made_at, kept.token, older)
             raise Busy
         with self._charged(now):
-            if now - self._refreshed_at >= c.REFRESH_S:
+            if now - self._refreshed_at >= c.MIN_REFRESH_INTERVAL_S:
                 self._refreshed_at = now
-                model.refresh(c.ROWS_AN_ANSWER)
+                model.refresh(c.ROWS_PER_ANSWER)
             made = _Kept(now, model.leader.term.token, {**self._head(model), **self._body(model, path, text)})
-        self._kept = {k: kept for k, kept in self._kept.items() if now - kept.made_at < c.AGE_MOST_S}
+        self._kept = {k: kept for k, kept in self._kept.items() if now - kept.made_at < c.MAX_ANSWER_AGE_S}
         self._kept[key] = made
         return made
 
@@ -182,7 +182,7 @@
     # --- asked ----------------------------------------------------------------------------------------
 
     async def handle(self, request: Request) -> Response:
-        """Answers at once or within `PASS_ON_S`; nothing is left behind when it is cancelled."""
+        """Answers at once or within `VIEW_FORWARD_TIMEOUT_S`; nothing is left behind when it is cancelled."""
         return await self._handle(request, lambda kept: self._sent(kept, request.gzip))
 
     async def plain(self, request: Request) -> Response:
@@ -219,7 +219,9 @@
         if peer is not None:
             asked = f"{path}?{text}&{DIRECT}=1" if text else f"{path}?{DIRECT}=1"
             try:
-                status, answer = await self._core.network.request(peer.addr, "GET", asked, None, c.PASS_ON_S)
+                status, answer = await self._core.network.request(
+                    peer.addr, "GET", asked, None, c.VIEW_FORWARD_TIMEOUT_S
+                )
                 if status != 409 and isinstance(answer, dict):
                     if status == 200:
                         answer["node"] = self._core.settings.node
--- a/pepperlatch/console/terminal.py
+++ b/pepperlatch/console/terminal.py
@@ -27,7 +27,7 @@
 _VIEWS = ("overview", "jobs", "job", "machines", "teams", "events")
 
 
-def read_filter(text: str, page: int = c.PAGE_MOST) -> Query:
+def read_filter(text: str, page: int = c.MAX_PAGE_ROWS) -> Query:
     """`team:web-services priority:urgent why:team-limit words` as a query. Raises BadQuery naming the field."""
     fields: dict[str, str] = {}
     words = []
@@ -40,7 +40,7 @@
         else:
             words.append(word)
     parsed, _ = parse(urlencode({"state": "unfinished", **fields, "text": " ".join(words)}))
-    return msgspec.structs.replace(parsed, page=page, most=c.CONSOLE_BYTES)
+    return msgspec.structs.replace(parsed, page=page, most=c.MAX_CONSOLE_ANSWER_BYTES)
 
 
 class Table(DataTable[Text]):
@@ -188,7 +188,7 @@
         return picture.headline(overview), picture.WAIT_COLUMNS, waits
 
     def _jobs(self, shown: Shown) -> tuple[str, Sequence[str], list[list[str]]]:
-        found = shown.rows[: c.ROWS_SHOWN]
+        found = shown.rows[: c.MAX_TERMINAL_ROWS]
         more = len(shown.rows) - len(found)
         words = f"{len(shown.rows)} jobs" + (f", the first {len(found)} shown: filter with /" if more else "")
         if shown.behind:
@@ -206,7 +206,7 @@
             lines.append(picture.reason_text(row, shown.now))
             lines.append(f"this changes when: {shown.detail.get('changes_when', '')}")
         lines.append(picture.order_text(shown.detail.get("order")))
-        line = shown.detail.get("line", [])[-c.LINES_SHOWN :]
+        line = shown.detail.get("line", [])[-c.MAX_TIMELINE_RECORDS_SHOWN :]
         cells = picture.line_cells(line, self._zone, shown.now)
         return "\n".join(text for text in lines if text), picture.LINE_COLUMNS, cells
 
--- a/pepperlatch/controller/admin.py
+++ b/pepperlatch/controller/admin.py
@@ -33,7 +33,7 @@
 
     async def handle(self, request: Request) -> Response:
         """Answers at a deadline: an operator who looks into an outage must not wait for its end."""
-        with trio.move_on_after(c.SUBMIT_WAIT_S):
+        with trio.move_on_after(c.SUBMIT_TIMEOUT_S):
             return await self._answer(request)
         return _away(request)
 
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -1,6 +1,6 @@
 """Leader and followers in touch: what followers may show and answer, and that they do not stand in meanwhile.
 
-A follower asks the leader every `CONTACT_EVERY_S`; the leader asks all others at the same pace for their promise.
+A follower asks the leader every `CONTACT_INTERVAL_S`; the leader asks all others at the same pace for their promise.
 """
 
 import logging
@@ -103,13 +103,13 @@
         reply: Reply[DelegationAnswer | None] = Reply()
         proven_at = leader.term.proven_at()
         self._owner.post(lambda: leader.on_statement(follower, statement, proven_at, reply))
-        with trio.move_on_after(c.DELEGATION_WAIT_S):
+        with trio.move_on_after(c.DELEGATION_TIMEOUT_S):
             return await reply.get()
         return None
 
     def _shown_jobs(self, leader: Leader, now: float) -> dict[str, Any]:
         """What followers may show users of each job; made once for those that ask at about the same time."""
-        if self._shown[0] != leader.term.token or now - self._shown[1] > c.SHOWN_S:
+        if self._shown[0] != leader.term.token or now - self._shown[1] > c.LEADER_SUMMARY_CACHE_S:
             rows = {
                 j.spec.id: [j.running(), len(j.done), j.reason.text(), round(now - j.reason_since, 1), j.reason.kind]
                 for j in leader.cluster.jobs.values() if not j.over
@@ -130,7 +130,7 @@
     async def run(self) -> None:
         """Keep in touch until cancelled; a leader that nobody reaches, or that cannot read, hands over."""
         while True:
-            await trio.sleep(c.CONTACT_EVERY_S)
+            await trio.sleep(c.CONTACT_INTERVAL_S)
             held, leader = self._replica.leader, self._leader()
             if leader is not None:
                 message = self._to_others(leader)
@@ -138,7 +138,7 @@
                     nursery.start_soon(self._delegate_to_itself, leader)
                     for peer in self._settings.peers:
                         nursery.start_soon(self._bar, leader, peer, message)
-                    if self._clock() - self._replica.current_at > c.VOUCH_AFTER_S:
+                    if self._clock() - self._replica.current_at > c.ATTESTATION_AFTER_S:
                         nursery.start_soon(self._vouching.ask, leader.term)
                 if why := self._cannot_lead(leader):
                     log.info("%s: it hands over", why)
@@ -159,7 +159,10 @@
         """Reports must come in, directly or passed on."""
         machines = [m for m in leader.cluster.machines.values() if m.status is Status.UP]
         since = max([leader.cluster.started, self._peer_answered_at, *(m.seen_at for m in machines)])
-        return bool(machines) and self._clock() - since > c.HANDOVER_REPORTS * self._settings.params.workers.report_s
+        return (
+            bool(machines)
+            and self._clock() - since > c.HANDOVER_SILENT_REPORTS * self._settings.params.workers.report_s
+        )
 
     async def _contact_leader(self, peer: Peer, token: int) -> None:
         sent = self._clock()
@@ -205,13 +208,13 @@
         answer = await self._ask_peer(peer, PEER_BAR, message)
         if answer is not None:
             self._peer_answered_at = self._clock()
-            until = sent + c.STAND_IN_BAR_S - c.STAND_IN_SLACK_S
+            until = sent + c.DELEGATED_RENEWAL_BAR_S - c.DELEGATED_RENEWAL_BAR_MARGIN_S
             self._owner.post(lambda: leader.cluster.on_promise(peer.node, answer, until, self._clock()))
 
     async def _ask_peer(self, peer: Peer, path: str, message: PeerMessage) -> dict[str, Any] | None:
         try:
             body = msgspec.to_builtins(message)
-            status, answer = await self._network.request(peer.addr, "POST", path, body, c.PROBE_S)
+            status, answer = await self._network.request(peer.addr, "POST", path, body, c.PROBE_TIMEOUT_S)
         except (NotSent, Lost):
             return None
         return answer if status == 200 and isinstance(answer, dict) else None
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -151,7 +151,7 @@
         return Response(200 if good and self.replica.loaded else 503, {"healthy": good})
 
     def _state_good(self) -> bool:
-        return self.state.reachable() or self._clock() - self.state.bad_since < c.STATE_BAD_S
+        return self.state.reachable() or self._clock() - self.state.bad_since < c.STATE_FAILING_S
 
     async def _state_answers(self) -> bool:
         """For another node that gets no answers: what we got a while ago may have been before the outage."""
@@ -208,7 +208,7 @@
     async def _health_loop(self) -> None:
         """Only while this node has no good answer itself does it ask whether the others do."""
         while True:
-            await trio.sleep(c.HEALTH_EVERY_S)
+            await trio.sleep(c.HEALTH_INTERVAL_S)
             if self.replica.loaded and self._state_good():
                 self._peers_good, self._silent_rounds = False, 0
                 continue
@@ -227,7 +227,7 @@
     async def _homes_loop(self) -> None:
         """Workers that report here are sent back to their own zone once a controller there hears the leader."""
         while True:
-            await trio.sleep(c.HOME_EVERY_S)
+            await trio.sleep(c.PREFERRED_CONTROLLER_PROBE_INTERVAL_S)
             wanted = self.heartbeats.routes.look(self._clock())
             async with trio.open_nursery() as nursery:
                 for peer in (p for p in self.settings.peers if p.node in wanted):
@@ -245,7 +245,7 @@
     async def _peer_health(self, peer: Peer) -> dict[str, Any] | None:
         """What another controller says of itself; nothing good if that cannot be read, None if it does not answer."""
         try:
-            status, answer = await self._network.request(peer.addr, "GET", PEER_HEALTH, None, c.PROBE_S)
+            status, answer = await self._network.request(peer.addr, "GET", PEER_HEALTH, None, c.PROBE_TIMEOUT_S)
         except (NotSent, Lost):
             return None
         return answer if status == 200 and isinstance(answer, dict) else {}
@@ -256,7 +256,7 @@
             try:
                 self.users.types = await self.cloud.types()
             except CloudTrouble:
-                await trio.sleep(c.CLOUD_RETRY_S)
+                await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
 
     # --- views ------------------------------------------------------------------------------------
 
@@ -298,7 +298,7 @@
     """Run a node until it is cancelled, with the parts that are switched on. `made` is shown the node."""
     limit = settings.params.limits.max_connections
     accepted = int(limit * c.SOCKET_SHARE_SERVER)
-    by_peers = min(accepted // 5, c.PEER_CONNECTIONS * max(1, len(settings.peers)))
+    by_peers = min(accepted // 5, c.MAX_CONNECTIONS_PER_PEER * max(1, len(settings.peers)))
     network = HttpNetwork(limit - accepted - 20)
     node = Node(settings, network, parts=parts)
     made(node)
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -30,7 +30,7 @@
 
     def __init__(self, zones: Zones, needed: bool) -> None:
         self._zones = zones
-        self._left = z.PORTION if needed else 0
+        self._left = z.MAX_GIVEN_UP_PER_CHECK if needed else 0
 
     def allows(self, zone: str) -> bool:
         if not self._zones.cut(zone):
@@ -47,7 +47,7 @@
         self._workers = workers
         self._peers = peers
         self._on_report = on_report
-        self._fencing = trio.CapacityLimiter(c.FENCE_AT_ONCE)
+        self._fencing = trio.CapacityLimiter(c.MAX_CONCURRENT_FENCES)
         self._reached: list[str] = []  # looked up once a look, not once a machine
 
     # --- fencing ----------------------------------------------------------------------------------
@@ -68,14 +68,14 @@
                         executed, _ = await self._show_token(machine, report.session)
                     if executed:
                         return
-            await trio.sleep(c.FENCE_PAUSE_S)
+            await trio.sleep(c.FENCE_RETRY_S)
 
     async def _show_token(self, machine: Machine, session: int) -> tuple[bool, Report]:
         """Directly, or through another controller if a cut lies between: its reports are passed on then."""
         through_others, sent = False, self._duty.clock()
         try:
             executed, report = await self._workers.command(
-                machine.addr, self._duty.term.token, session, [], c.FENCE_TRY_S
+                machine.addr, self._duty.term.token, session, [], c.FENCE_TIMEOUT_S
             )
         except (NotSent, Lost):
             machine.fence_failed = True
@@ -86,7 +86,7 @@
 
     def _fenced(self, machine: Machine, report: Report, sent: float, through_others: bool) -> None:
         if through_others:
-            machine.relay_until = self._duty.clock() + c.RELAY_STICKY_S
+            machine.relay_until = self._duty.clock() + c.FORWARD_PERIOD_S
         self._on_report(report, sent, through_others)
 
     # --- silence ----------------------------------------------------------------------------------
@@ -105,11 +105,11 @@
         zones = {m.zone for m in cluster.machines.values()}
         kept_zones = {zone for zone in zones if planner.zones.kept(zone, now)}
         elsewhere = sum(1 for m in silent if m.zone not in kept_zones)
-        many = elsewhere > max(1, c.SILENT_MANY_SHARE * len(cluster.machines))
+        many = elsewhere > max(1, c.MANY_SILENT_SHARE * len(cluster.machines))
         for machine in cluster.machines.values():
             if machine.status is Status.BOOTING and machine.zone not in kept_zones and self._overdue(machine, now):
                 cluster.release(machine, "never came up")
-            if machine.unheard >= c.UNHEARD_MOST or any(not a.wanted for a in machine.attempts.values()):
+            if machine.unheard >= c.MAX_LOST_LAUNCH_ANSWERS or any(not a.wanted for a in machine.attempts.values()):
                 cluster.touched.add(machine)
         if sure:
             self._give_up([machine for machine in quiet if machine.zone not in kept_zones], many, now)
@@ -139,7 +139,7 @@
         answers: dict[str, bool] = {settings.zone: True}
         for peer in settings.peers:
             heard_at = max(cluster.peer_heard.get(peer.node, cluster.started), cluster.started)
-            answers[peer.zone] = answers.get(peer.zone, False) or now - heard_at <= z.ANSWER_S
+            answers[peer.zone] = answers.get(peer.zone, False) or now - heard_at <= z.CONTROLLER_ANSWER_VALID_S
         for zone in settings.params.zones:
             self._duty.planner.look_at_zone(zone, ZoneSeen(up[zone], lost[zone], answers.get(zone)), now)
 
@@ -153,7 +153,7 @@
             else:
                 out.append(machine)
         for machines in cut.values():
-            out += heapq.nsmallest(z.PROBES, machines, key=lambda m: (m.probes + m.probes_unheard, m.name))
+            out += heapq.nsmallest(z.PROBES_PER_CHECK, machines, key=lambda m: (m.probes + m.probes_unheard, m.name))
         return out
 
     def _quiet(self, now: float) -> list[Machine]:
@@ -179,10 +179,10 @@
         While no other controller can be asked, a cut looks like a dead machine: then only the end of its
         lease decides, after which nothing runs there any more.
         """
-        if now - max(machine.seen_at, self._duty.cluster.started) > c.SILENT_LONG_S:
+        if now - max(machine.seen_at, self._duty.cluster.started) > c.MAX_SILENCE_S:
             return True
         fenced = machine.seen_at < 0  # two tries to fence it came before
-        asked = machine.probes >= (1 if fenced else c.SILENT_PROBES)
+        asked = machine.probes >= (1 if fenced else c.MAX_UNANSWERED_PROBES)
         return not many and (asked or (machine.probes_unheard > 0 and self._duty.cluster.lease_over(machine, now)))
 
     def _return_cancelled(self, quiet: list[Machine], kept_zones: set[str], sure: bool, now: float) -> None:
@@ -223,7 +223,7 @@
         with contextlib.suppress(NotSent, Lost):
             report = await self._workers.inspect(machine.addr)
         through_others, heard = False, True
-        if report is None and (machine.probes + 1 >= c.SILENT_PROBES or machine.seen_at < 0):
+        if report is None and (machine.probes + 1 >= c.MAX_UNANSWERED_PROBES or machine.seen_at < 0):
             report, heard = await self._peers.inspect(machine.addr, self._reached)
             through_others = report is not None
         self._duty.owner.post(lambda: self._probed(machine, report, sent, through_others, heard))
@@ -233,7 +233,7 @@
     ) -> None:  # fmt: skip
         machine.probing = False
         if through_others:  # its reports are passed on, see Cluster.relayed
-            machine.relay_until = self._duty.clock() + c.RELAY_STICKY_S
+            machine.relay_until = self._duty.clock() + c.FORWARD_PERIOD_S
         machine.probes += heard
         machine.probes_unheard += not heard
         if report is not None:
--- a/pepperlatch/controller/heartbeats/delegation.py
+++ b/pepperlatch/controller/heartbeats/delegation.py
@@ -74,7 +74,7 @@
         del self._forwarded[report.machine]
         if number is None or token != self._token or number <= self._floor:
             return
-        if len(self._held) < c.DELEGATION_MOST:
+        if len(self._held) < c.MAX_DELEGATED_MACHINES:
             answered_at = self._released.pop(report.machine, -math.inf)
             self._held[report.machine] = _Held(number, report, now, answered_at)
 
--- a/pepperlatch/controller/heartbeats/forwarding.py
+++ b/pepperlatch/controller/heartbeats/forwarding.py
@@ -64,9 +64,9 @@
                 await self._wake.wait()
                 self._wake = trio.Event()
                 await trio.sleep_until(max(self._next_at, trio.current_time()))
-                while self._queue and self._flying < c.FORWARD_AT_ONCE:
+                while self._queue and self._flying < c.MAX_CONCURRENT_FORWARDS:
                     self._flying += 1
-                    self._next_at = trio.current_time() + c.FORWARD_GAP_S
+                    self._next_at = trio.current_time() + c.MIN_FORWARD_INTERVAL_S
                     nursery.start_soon(self._deliver, self._take())
 
     def _take(self) -> list[_Forwarded]:
@@ -76,9 +76,9 @@
         if trio.current_time() < self._alone_until.get(addr, 0.0):
             return batch
         size = len(orjson.dumps(batch[0].plain))
-        while self._queue and self._queue[0].addr == addr and len(batch) < c.FORWARD_MOST:
+        while self._queue and self._queue[0].addr == addr and len(batch) < c.MAX_FORWARD_REPORTS:
             size += len(orjson.dumps(self._queue[0].plain)) + 1
-            if size > c.FORWARD_BYTES:
+            if size > c.MAX_FORWARD_BYTES:
                 break
             batch.append(self._queue.popleft())
         return batch
@@ -95,7 +95,7 @@
 
     async def _one(self, item: _Forwarded) -> None:
         try:
-            item.settle(await self._network.request(item.addr, "POST", PEER_HEARTBEAT, item.plain, c.RELAY_S))
+            item.settle(await self._network.request(item.addr, "POST", PEER_HEARTBEAT, item.plain, c.FORWARD_TIMEOUT_S))
         except (NotSent, Lost) as error:
             item.settle(error)
 
@@ -103,14 +103,14 @@
         addr = batch[0].addr
         body = {"beats": [item.plain for item in batch], "node": self._node}
         try:
-            status, answer = await self._network.request(addr, "POST", PEER_HEARTBEATS, body, c.RELAY_S)
+            status, answer = await self._network.request(addr, "POST", PEER_HEARTBEATS, body, c.FORWARD_TIMEOUT_S)
         except (NotSent, Lost) as error:
             for item in batch:
                 item.settle(error)
             return
         answers = answer.get("answers") if status == 200 and isinstance(answer, dict) else None
         if not isinstance(answers, list) or len(answers) != len(batch):  # an earlier version does not know the path
-            self._alone_until[addr] = trio.current_time() + c.FORWARD_ALONE_S
+            self._alone_until[addr] = trio.current_time() + c.FORWARD_UNBATCHED_S
             async with trio.open_nursery() as nursery:
                 for item in batch:
                     nursery.start_soon(self._one, item)
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -77,7 +77,7 @@
         home = self.routes.home(report.machine, report.zone, now)
         if home is not None and self.routes.send(report.machine, now):
             return Response(421, wire.misdirected(home))
-        return await self._take(report, plain, now + c.HEARTBEAT_PATIENCE_S)
+        return await self._take(report, plain, now + c.MAX_HEARTBEAT_WAIT_S)
 
     async def _take(self, report: Report, plain: Any, until: float) -> Response:
         """Whoever comes to lead meanwhile has it: a worker that is sent away with no better place to go loses time."""
@@ -123,7 +123,7 @@
         reply: Reply[list[HeartbeatAnswer]] = Reply()
         if leader is not None and not self._owner.full():
             self._owner.post(lambda: leader.on_heartbeats(reports, follower, reply))
-            with trio.move_on_after(c.RELAY_S):
+            with trio.move_on_after(c.FORWARD_TIMEOUT_S):
                 answers = await reply.get()
                 if answers is not None:
                     return answers
@@ -136,7 +136,7 @@
             return self._stand_in(report)
         refused = False
         try:
-            seconds = min(c.RELAY_S, max(c.HEARTBEAT_RETRY_S, until - self._clock()))
+            seconds = min(c.FORWARD_TIMEOUT_S, max(c.HEARTBEAT_RETRY_S, until - self._clock()))
             self.delegated.forwarded(report)
             status, answer = await self.forwarder.forward(self._addr[leader], plain, seconds)
             if status == 200 and isinstance(answer, dict):
@@ -172,7 +172,7 @@
 
     def _state_here(self) -> bool:
         """Cut off from everything we would not know who leads; then there is no point in sending workers there."""
-        return self._clock() - self._state.good_at <= c.STATE_AWAY_S
+        return self._clock() - self._state.good_at <= c.STATE_UNAVAILABLE_S
 
     def _knows_over(self, job_id: str) -> bool:
         entry = self._replica.jobs.get(job_id)
@@ -193,7 +193,7 @@
             held is not None
             and held[1] == contact.token == report.token
             and not self._state_here()
-            and now > max(self._barred_until, self._began_at + c.STAND_IN_BAR_S)
+            and now > max(self._barred_until, self._began_at + c.DELEGATED_RENEWAL_BAR_S)
             and now < keeps_alive_until(self._hold_s, self._replica.current_at, contact.at)
         )
 
@@ -212,7 +212,7 @@
         and how long this process has lived."""
         now = self._clock()
         self.routes.keep(unreached, now)
-        self._barred_until = now + c.STAND_IN_BAR_S
+        self._barred_until = now + c.DELEGATED_RENEWAL_BAR_S
         oldest = now - 2 * self._lease_s
         self._stood_in = {name: at for name, at in self._stood_in.items() if at > oldest}
         ages = {name: round(now - at, 3) for name, at in self._stood_in.items()}
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -116,7 +116,7 @@
                     return (await self._state.read_all(store.FLEET))[1]
             except (Away, Unsure):
                 pass
-            await trio.sleep(c.WATCH_GAP_S)
+            await trio.sleep(c.MIN_WATCH_INTERVAL_S)
         return None
 
     def _start(self, pairs: list[wire.KeyValue]) -> None:
@@ -316,15 +316,15 @@
         self.planner.place_all(now)
         self._pace.took(self.planner.work, self.clock() - began)
         self.planner.preempt(now)
-        if sure and now - self._rented_at >= c.RENT_GAP_S:
+        if sure and now - self._rented_at >= c.MIN_RENT_INTERVAL_S:
             self._rented_at = now
             self._rentals.rent(now)
         elif not sure:
             self.planner.hold(now)
         took = self.clock() - now
-        self._plan_after = now + took + max(c.PLAN_GAP_S, c.PLAN_REST * took)
-        self.planner.look_after = now + took + c.PLAN_LOOK_REST * took
-        if took > c.PLAN_LONG_S:
+        self._plan_after = now + took + max(c.MIN_PLAN_INTERVAL_S, c.PLAN_PAUSE_FACTOR * took)
+        self.planner.look_after = now + took + c.IDLE_PLAN_PAUSE_FACTOR * took
+        if took > c.SLOW_PLAN_ROUND_S:
             log.info("a round of planning took %.3f s", took)
 
     def _refuse_heartbeats(self) -> None:
@@ -361,7 +361,9 @@
                 self.cluster.touched.add(machine)
                 continue
             orders, launched = self.cluster.orders_direct(machine, now)
-            if orders or machine.unheard >= c.UNHEARD_MOST:  # without orders it tells whether it hears us again
+            if (
+                orders or machine.unheard >= c.MAX_LOST_LAUNCH_ANSWERS
+            ):  # without orders it tells whether it hears us again
                 machine.sending = True
                 self._duty.spawn(self._command, machine, machine.session, orders, launched)
 
@@ -373,9 +375,9 @@
         try:
             executed, report = await self._workers.command(machine.addr, self.term.token, session, orders)
         except NotSent:
-            executed, pause = False, c.COMMAND_S / 2
+            executed, pause = False, c.COMMAND_TIMEOUT_S / 2
         except Lost:
-            pause = c.COMMAND_S
+            pause = c.COMMAND_TIMEOUT_S
         self.owner.post(lambda: self._commanded(machine, report, sent, launched, executed, pause))
 
     def _commanded(
--- a/pepperlatch/controller/leaderless.py
+++ b/pepperlatch/controller/leaderless.py
@@ -58,7 +58,7 @@
         self._witnesses = witnesses
         held, self._told = self._told, {}
         for row in machines:
-            since = now - row.ago_s - c.PROBE_S  # so long the message may have been under way
+            since = now - row.ago_s - c.PROBE_TIMEOUT_S  # so long the message may have been under way
             known = held.get(row.machine)
             self._told[row.machine] = _Told(row.addr, since if known is None else min(since, known.since))
 
@@ -79,14 +79,14 @@
         now = self._clock()
         due_s, most_s = return_after_s(self._times), self._times.cancel_s
         due = [name for name, held in self._told.items() if due_s < now - held.since <= most_s]
-        due = sorted(due)[: c.RELEASE_MOST]
+        due = sorted(due)[: c.MAX_NAMES_PER_RELEASE]
         if not due:
             return
         reaches = await self._peers.reaches(self._witnesses)
         async with trio.open_nursery() as nursery:
             for name in due:
                 nursery.start_soon(self._ask, self._told[name], reaches)
-        silent = [name for name in due if name in self._told and self._told[name].unanswered >= c.SILENT_PROBES]
+        silent = [name for name in due if name in self._told and self._told[name].unanswered >= c.MAX_UNANSWERED_PROBES]
         if silent and self._leaderless():
             await self._release(silent)
 
--- a/pepperlatch/controller/leadership.py
+++ b/pepperlatch/controller/leadership.py
@@ -38,7 +38,8 @@
     def sure(self, now: float) -> bool:
         """The lease cannot have ended yet: what cannot be taken back is allowed."""
         return (
-            not self.over and now - self.checked_at < c.LEADER_LEASE_MS / 1000 * (1 - c.CLOCK_DRIFT) - c.SURE_MARGIN_S
+            not self.over
+            and now - self.checked_at < c.LEADER_LEASE_MS / 1000 * (1 - c.CLOCK_DRIFT) - c.LEADER_LEASE_MARGIN_S
         )
 
     def proven_at(self) -> float:
@@ -61,7 +62,7 @@
 
 def hold_seconds(cancel_s: float, lease_s: float) -> float:
     """G of `docs/safety.md` 6: what is answered so long after a proof is gone within `cancel_s` of that proof."""
-    return max(0.0, (cancel_s - lease_s * (1 + c.CLOCK_DRIFT)) * (1 - c.CLOCK_DRIFT) - c.HOLD_MARGIN_S)
+    return max(0.0, (cancel_s - lease_s * (1 + c.CLOCK_DRIFT)) * (1 - c.CLOCK_DRIFT) - c.LEASE_EXTENSION_MARGIN_S)
 
 
 class Leadership:
@@ -151,7 +152,7 @@
         async with trio.open_nursery() as nursery:
             while not term.over:
                 nursery.start_soon(self._touch, term)
-                await trio.sleep(c.LEADER_TOUCH_S if self._state.reachable() else c.STATE_RETRY_S)
+                await trio.sleep(c.LEADER_LEASE_RENEW_S if self._state.reachable() else c.STATE_RETRY_S)
             nursery.cancel_scope.cancel()
 
     async def _touch(self, term: Term) -> None:
--- a/pepperlatch/controller/owner.py
+++ b/pepperlatch/controller/owner.py
@@ -30,11 +30,11 @@
 
     def long(self) -> bool:
         """Whether the node falls behind, so that what is not needed gives way."""
-        return len(self._queue) >= c.QUEUE_LONG
+        return len(self._queue) >= c.LONG_QUEUE_COMMANDS
 
     def full(self) -> bool:
         """Whether reports are to be refused; what the node asked for itself is always taken."""
-        return len(self._queue) >= c.QUEUE_MOST
+        return len(self._queue) >= c.MAX_QUEUE_COMMANDS
 
     async def run(self) -> None:
         while True:
--- a/pepperlatch/controller/parts.py
+++ b/pepperlatch/controller/parts.py
@@ -132,7 +132,7 @@
                 return
             except Exception:
                 log.exception("%s failed; it is started again", name)
-            await trio.sleep(c.PART_PAUSE_S)
+            await trio.sleep(c.EXTENSION_RESTART_PAUSE_S)
 
     async def lead(self, term: Term) -> None:
         """Ends soon after the term."""
--- a/pepperlatch/controller/peers.py
+++ b/pepperlatch/controller/peers.py
@@ -55,7 +55,7 @@
             nonlocal heard
             try:
                 status, answer = await self._network.request(
-                    peer.addr, "POST", PEER_INSPECT, {"addr": addr, "others": others}, c.PROBE_S * 2.5
+                    peer.addr, "POST", PEER_INSPECT, {"addr": addr, "others": others}, c.PROBE_TIMEOUT_S * 2.5
                 )
                 heard += status == 200 or bool(answer.get("reaches", True))
                 if status == 200:
@@ -75,10 +75,10 @@
         Carries no orders: a copy that arrives late can do no more than the token itself.
         """
         peers = sorted(self._settings.peers, key=lambda p: p.zone != zone)
-        for peer in peers[: c.FENCE_PEERS]:
+        for peer in peers[: c.MAX_FENCE_PEERS]:
             body = {"addr": addr, "token": token, "session": session}
             try:
-                status, answer = await self._network.request(peer.addr, "POST", PEER_FENCE, body, 2 * c.FENCE_TRY_S)
+                status, answer = await self._network.request(peer.addr, "POST", PEER_FENCE, body, 2 * c.FENCE_TIMEOUT_S)
                 if status == 200:
                     fenced: Fenced = wire.convert(answer, Fenced)
                     return fenced
@@ -114,7 +114,7 @@
                 nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
-            for addr in others[: c.WITNESS_ASKS]:
+            for addr in others[: c.MAX_WITNESSES]:
                 nursery.start_soon(ask, addr)
         return reached
 
@@ -122,7 +122,7 @@
         message = wire.convert(orjson.loads(body), FenceMessage)
         try:
             executed, report = await self._workers.command(
-                message.addr, message.token, message.session, [], c.FENCE_TRY_S
+                message.addr, message.token, message.session, [], c.FENCE_TIMEOUT_S
             )
         except (NotSent, Lost) as error:
             return Response(504, {"error": str(error)})
--- a/pepperlatch/controller/records.py
+++ b/pepperlatch/controller/records.py
@@ -39,7 +39,7 @@
     def persist(self, now: float) -> None:
         if not self._duty.cluster.unsaved:
             return
-        partly = now - self._persist_at >= c.PERSIST_GAP_S
+        partly = now - self._persist_at >= c.MIN_PERSIST_INTERVAL_S
         for job_id in list(self._duty.cluster.unsaved):
             job = self._duty.cluster.jobs.get(job_id)
             if job is None or job.over:
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -26,7 +26,7 @@
 
     def rent(self, now: float) -> None:
         """A few calls at once, the largest first: what waits for its turn is asked for with what comes meanwhile."""
-        free = c.HIRES_AT_ONCE - len(self._duty.planner.asked)
+        free = c.MAX_CONCURRENT_HIRES - len(self._duty.planner.asked)
         if free <= 0:
             return
         chosen = Counter(self._duty.planner.rent(now))
@@ -68,7 +68,7 @@
                 names = None
             except CloudTrouble as error:
                 log.info("hire %s: %s", name, error)
-                await trio.sleep(c.CLOUD_RETRY_S)
+                await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
                 continue
             break
         self._duty.owner.post(lambda: self._hired(name, offer, record.count, names))
@@ -119,9 +119,9 @@
             try:
                 types = await self._cloud.types()
                 self._duty.owner.post(lambda t=types: self._on_types(t))  # type: ignore[misc]
-                await trio.sleep(c.PRICES_EVERY_S)
+                await trio.sleep(c.PRICE_POLL_INTERVAL_S)
             except CloudTrouble:
-                await trio.sleep(c.CLOUD_RETRY_S)
+                await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
 
     def _on_types(self, types: list[wire.MachineType]) -> None:
         """Machine types are kept for nodes that start while the cloud is away."""
@@ -145,7 +145,7 @@
                 self._duty.owner.post(lambda x=listed: self._on_list(x))  # type: ignore[misc]
             except CloudTrouble as error:
                 log.info("machine list: %s", error)
-            await trio.sleep(c.CLOUD_LIST_EVERY_S)
+            await trio.sleep(c.CLOUD_LIST_INTERVAL_S)
 
     def _on_list(self, listed: list[wire.Listed]) -> None:
         now = self._duty.clock()
@@ -166,7 +166,7 @@
                     machine.born = min(machine.born, now - item.age_s)
                 if item.state == wire.FAILED:
                     self._duty.cluster.release(machine, "failed")
-        lag = self._duty.settings.params.cloud.list_lag_s * c.LIST_LAG_TIMES + c.CLOUD_LIST_EVERY_S
+        lag = self._duty.settings.params.cloud.list_lag_s * c.LIST_LAG_FACTOR + c.CLOUD_LIST_INTERVAL_S
         for machine in list(self._duty.cluster.machines.values()):
             if (
                 machine.name not in names
@@ -179,7 +179,7 @@
         """Return machines while the lease is sure; a request without an answer holds up those behind it."""
         while not self._duty.term.over:
             await trio.sleep(c.TICK_S / 5)
-            names = sorted(self._duty.cluster.to_release)[: c.RELEASE_MOST]
+            names = sorted(self._duty.cluster.to_release)[: c.MAX_NAMES_PER_RELEASE]
             if names and self._duty.term.sure(self._duty.clock()):
                 await self._release(names)
 
@@ -192,7 +192,7 @@
             await trio.sleep(c.TICK_S / 5)
             machines = self._duty.cluster.machines
             names = [name for name in self._duty.cluster.to_release if name in machines]
-            urgent = sorted(name for name in names if not machines[name].return_needs_lease)[: c.RELEASE_MOST]
+            urgent = sorted(name for name in names if not machines[name].return_needs_lease)[: c.MAX_NAMES_PER_RELEASE]
             if urgent:
                 await self._release(urgent)
 
@@ -204,7 +204,7 @@
             self._duty.cluster.to_release.difference_update(names)
         except CloudTrouble as error:
             log.info("release: %s", error)
-            await trio.sleep(c.CLOUD_RETRY_S)
+            await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
 
     def _released(self, names: list[str]) -> None:
         now = self._duty.clock()
--- a/pepperlatch/controller/store.py
+++ b/pepperlatch/controller/store.py
@@ -194,7 +194,7 @@
     def _remember_cancelled(self, cancellation: Cancellation) -> None:
         self._cancelled.append(cancellation)
         self._cancelled_by_job.setdefault(cancellation.job_id, cancellation)
-        if len(self._cancelled) > c.VOUCH_KEPT:
+        if len(self._cancelled) > c.MAX_CANCELLATIONS_REMEMBERED:
             left_out = self._cancelled.popleft()
             self._cancelled_by_job.pop(left_out.job_id, None)
             self._cancelled_from = max(self._cancelled_from, left_out.version)
@@ -319,7 +319,7 @@
 
 
 def fits(value: Any, value_kb: float) -> bool:
-    return len(orjson.dumps(value)) <= value_kb * 1024 - c.VALUE_SLACK_BYTES
+    return len(orjson.dumps(value)) <= value_kb * 1024 - c.VALUE_OVERHEAD_BYTES
 
 
 def cut(text: str, size: int) -> list[str]:
@@ -330,10 +330,10 @@
 def parts_of(spec: wire.JobSpec, value_kb: float) -> list[str]:
     """The description as text in pieces that each fit one value; none if the job's own record can hold it."""
     plain = orjson.dumps(wire.to_plain(spec))
-    if len(plain) <= value_kb * 1024 - c.RECORD_BYTES:
+    if len(plain) <= value_kb * 1024 - c.JOB_RECORD_OVERHEAD_BYTES:
         return []
     text = base64.b64encode(plain).decode("ascii")
-    return cut(text, int(value_kb * 1024) - c.VALUE_SLACK_BYTES)
+    return cut(text, int(value_kb * 1024) - c.VALUE_OVERHEAD_BYTES)
 
 
 def joined(parts: dict[int, str], count: int) -> wire.JobSpec | None:
@@ -446,7 +446,7 @@
                     await self._reload()
                 if not await self._read(c.WATCH_WAIT_MS):
                     await self._reload()
-                await trio.sleep(c.WATCH_GAP_S)
+                await trio.sleep(c.MIN_WATCH_INTERVAL_S)
             except (Away, Unsure):
                 await trio.sleep(c.STATE_RETRY_S)
 
@@ -477,7 +477,7 @@
         reading = _Sync()
         self._waiting.append(reading)
         self._wanted.set()
-        with trio.move_on_after(c.SYNC_WAIT_S):
+        with trio.move_on_after(c.SYNC_TIMEOUT_S):
             await reading.settled.wait()
         if not reading.good:
             raise Away("no current reading of the state service")
@@ -485,7 +485,7 @@
     async def serve_syncs(self) -> None:
         """One read for all that wait at its start; a slow one holds up few of those that come later."""
         async with trio.open_nursery() as nursery:
-            flying = trio.CapacityLimiter(c.SYNCS_AT_ONCE)
+            flying = trio.CapacityLimiter(c.MAX_CONCURRENT_SYNCS)
             while True:
                 await self._wanted.wait()
                 token = object()
@@ -493,9 +493,9 @@
                 self._wanted = trio.Event()
                 batch, self._waiting = self._waiting, []
                 nursery.start_soon(self._serve, batch, flying, token)
-                with trio.move_on_after(c.SYNC_SLOW_S):  # reads that are answered soon go one after the other
+                with trio.move_on_after(c.SLOW_SYNC_S):  # reads that are answered soon go one after the other
                     await batch[0].settled.wait()
-                await trio.sleep(c.SYNC_GAP_S)
+                await trio.sleep(c.MIN_SYNC_INTERVAL_S)
 
     async def _serve(self, batch: list[_Sync], flying: trio.CapacityLimiter, token: object) -> None:
         good = False
@@ -515,7 +515,7 @@
         A quiet watch proves nothing for as long as it waits; polls prove it all the time, and then this reads nothing.
         """
         while True:
-            await trio.sleep(c.PULSE_S)
-            if wanted() and trio.current_time() - self.replica.current_at >= c.PULSE_S:
+            await trio.sleep(c.FRESHNESS_CHECK_INTERVAL_S)
+            if wanted() and trio.current_time() - self.replica.current_at >= c.FRESHNESS_CHECK_INTERVAL_S:
                 with contextlib.suppress(Away):
                     await self.sync()
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -104,10 +104,10 @@
         raise Impossible(beyond)
     fitting = [t for t in types if fits_type(spec, t) and (spec.types is None or t.name in spec.types)]
     if not fitting:
-        allowed = "any" if spec.types is None else ", ".join(spec.types[: c.NAMES_SHOWN])
+        allowed = "any" if spec.types is None else ", ".join(spec.types[: c.MAX_NAMES_SHOWN])
         raise Impossible(f"a task of {reasons.each(spec)} fits no allowed machine type ({allowed})")
     if spec.zone is not None and not any(spec.zone in t.zones for t in fitting):
-        raise Impossible(f"no machine type that a task fits exists in zone {spec.zone[: c.NAME_SHOWN]}")
+        raise Impossible(f"no machine type that a task fits exists in zone {spec.zone[: c.MAX_NAME_CHARS_SHOWN]}")
     if spec.spread and spec.tasks > 1 and spec.kind is not Kind.ARRAY:  # all at once, half of them in one zone at most
         zones = {zone for t in fitting for zone in t.zones if spec.zone in (None, zone)}
         if spec.one_zone or len(zones) < 2:
@@ -195,7 +195,7 @@
         for name in needs:
             entry = self._replica.jobs.get(name)
             if entry is None:
-                return f"{name[: c.NAME_SHOWN]}, which it needs, was never accepted"
+                return f"{name[: c.MAX_NAME_CHARS_SHOWN]}, which it needs, was never accepted"
             if entry.state not in wire.FINAL and entry.record.spec and entry.record.spec.kind is Kind.SERVICE:
                 return f"{name}, which it needs, is a service and never done"
         return None
@@ -208,7 +208,7 @@
         spec = check_job(value)
         limits = self._settings.params.state
         parts = store.parts_of(spec, limits.value_kb)
-        if len(parts) >= limits.txn_ops or sum(map(len, parts)) > c.TXN_BYTES:
+        if len(parts) >= limits.txn_ops or sum(map(len, parts)) > c.MAX_TXN_BYTES:
             raise Malformed("the description is longer than what is stored at once")
         types = self._replica.types or self.types
         if not types:
@@ -228,12 +228,12 @@
         return Response(200, self.describe(job_id, entry)) if entry is not None else None
 
     async def _create(self, spec: JobSpec) -> Response:
-        if len(self._queue) >= self._state.writes_within(c.SUBMIT_WAIT_S):  # its turn would not come in time
+        if len(self._queue) >= self._state.writes_within(c.SUBMIT_TIMEOUT_S):  # its turn would not come in time
             return later()
         parts = store.parts_of(spec, self._settings.params.state.value_kb)
         submission = self._queue.setdefault(spec.id, _Submission(spec, parts=parts))  # twice in flight: one conflicts
         self._wake.set()
-        with trio.move_on_after(c.SUBMIT_WAIT_S):
+        with trio.move_on_after(c.SUBMIT_TIMEOUT_S):
             await submission.settled.wait()
         if submission.created is None:
             return later()
@@ -244,7 +244,7 @@
     async def create_loop(self) -> None:
         """Submissions that wait together are committed together; a slow answer holds up few of those behind it."""
         async with trio.open_nursery() as nursery:
-            flying = trio.CapacityLimiter(c.CREATES_AT_ONCE)
+            flying = trio.CapacityLimiter(c.MAX_CONCURRENT_SUBMIT_TXNS)
             while True:
                 if not self._queue:
                     self._wake = trio.Event()
@@ -258,8 +258,12 @@
         changes = size = 0
         for submission in self._queue.values():
             changes += 1 + len(submission.parts)
-            size += c.RECORD_BYTES + sum(map(len, submission.parts)) + len(orjson.dumps(wire.to_plain(submission.spec)))
-            if batch and (changes > self._settings.params.state.txn_ops or size > c.TXN_BYTES):
+            size += (
+                c.JOB_RECORD_OVERHEAD_BYTES
+                + sum(map(len, submission.parts))
+                + len(orjson.dumps(wire.to_plain(submission.spec)))
+            )
+            if batch and (changes > self._settings.params.state.txn_ops or size > c.MAX_TXN_BYTES):
                 break
             batch.append(submission)
         for submission in batch:
@@ -302,7 +306,7 @@
     async def _create_now(self, conditions: list[dict[str, Any]], writes: list[dict[str, Any]]) -> Outcome:
         """Once more if there is no answer: its user waits, and an id that is there by then is simply known."""
         try:
-            return await self._state.txn(conditions, writes, seconds=c.CREATE_TRY_S)
+            return await self._state.txn(conditions, writes, seconds=c.SUBMIT_TXN_TIMEOUT_S)
         except Unsure:
             return await self._state.txn(conditions, writes)
 
@@ -338,7 +342,7 @@
         """Cancelled only once the state service holds that; a job already done stays done."""
         if not store.is_job_id(job_id):
             return Response(404, {"error": "no such job"})
-        with trio.move_on_after(c.SUBMIT_WAIT_S):
+        with trio.move_on_after(c.SUBMIT_TIMEOUT_S):
             while True:
                 await self._watched.sync()
                 entry = self._replica.jobs.get(job_id)
--- a/pepperlatch/controller/vouching.py
+++ b/pepperlatch/controller/vouching.py
@@ -74,7 +74,9 @@
         token = max([held[1] if held is not None else 0, *leads])
         found = self._replica.cancelled_since(question.revision)
         shown = found or []
-        last = shown[: c.VOUCH_MOST][-1][0] if shown else 0  # a revision may cancel several: all of them or none
+        last = (
+            shown[: c.MAX_ATTESTED_CANCELLATIONS][-1][0] if shown else 0
+        )  # a revision may cancel several: all of them or none
         rows = [
             Cancelled(job_id, wire.to_plain(self._replica.jobs[job_id].record), version)
             for version, job_id in shown
@@ -137,12 +139,12 @@
             return
         body = wire.to_plain(Cancelled(job_id, wire.to_plain(record), version))
         with contextlib.suppress(NotSent, Lost):
-            await self._network.request(peer.addr, "POST", PEER_CANCELLED, body, c.TELL_S)
+            await self._network.request(peer.addr, "POST", PEER_CANCELLED, body, c.CANCEL_NOTIFY_TIMEOUT_S)
 
     async def _ask(self, peer: Peer, question: Question) -> Statement | None:
         try:
             body = wire.to_plain(question)
-            status, answer = await self._network.request(peer.addr, "POST", PEER_VOUCH, body, c.PROBE_S)
+            status, answer = await self._network.request(peer.addr, "POST", PEER_VOUCH, body, c.PROBE_TIMEOUT_S)
             statement: Statement | None = wire.convert(answer, Statement) if status == 200 else None
             return statement
         except (NotSent, Lost, msgspec.ValidationError):
--- a/pepperlatch/controller/writer.py
+++ b/pepperlatch/controller/writer.py
@@ -76,7 +76,7 @@
 
     async def _rest(self) -> None:
         self._wake = trio.Event()
-        with trio.move_on_after(c.LATER_PAUSE_S if self._later else c.REFUSED_PAUSE_S):
+        with trio.move_on_after(c.BACKGROUND_WRITE_RETRY_S if self._later else c.REFUSED_WRITE_RETRY_S):
             await self._wake.wait()
 
     def _refuse(self, batch: list[Write], error: Refused) -> None:
@@ -85,7 +85,7 @@
             self._queue.extendleft(reversed([_alone(write) for write in batch]))
             return
         log.error("%s is refused: %s", wire.written_key(batch[0].changes[0]), error)
-        self._refused.append((trio.current_time() + c.REFUSED_PAUSE_S, batch[0]))
+        self._refused.append((trio.current_time() + c.REFUSED_WRITE_RETRY_S, batch[0]))
 
     def _take(self) -> list[Write]:
         """Whole writes while they fit into one transaction (at least one)."""
@@ -100,7 +100,11 @@
             changes += len(write.changes)
             conditions += len(write.when)
             size += len(orjson.dumps(write.changes))
-            over = changes > self._most or conditions + 2 > c.TXN_CONDITIONS * self._most or size > c.TXN_BYTES
+            over = (
+                changes > self._most
+                or conditions + 2 > c.MAX_TXN_CONDITIONS_PER_CHANGE * self._most
+                or size > c.MAX_TXN_BYTES
+            )
             if batch and (over or write.alone or batch[0].alone):
                 break
             batch.append(source.popleft())
--- a/pepperlatch/logs.py
+++ b/pepperlatch/logs.py
@@ -76,8 +76,8 @@
         if record.levelno >= logging.ERROR:
             return True
         now = self.clock()
-        flow = self._flows.setdefault((record.name, str(record.msg)), _Flow(c.LOG_BURST, now))
-        flow.saved, flow.at = min(c.LOG_BURST, flow.saved + (now - flow.at) * c.LOG_RATE), now
+        flow = self._flows.setdefault((record.name, str(record.msg)), _Flow(c.LOG_BURST_LINES, now))
+        flow.saved, flow.at = min(c.LOG_BURST_LINES, flow.saved + (now - flow.at) * c.LOG_LINES_PER_S), now
         if flow.saved < 1:
             flow.left_out += 1
             return False
--- a/pepperlatch/pipelines/canonical.py
+++ b/pepperlatch/pipelines/canonical.py
@@ -32,7 +32,7 @@
 
 def job_id(spec: wire.JobSpec, key: str = "", again: str = "") -> str:
     """The id of what is asked; `spec.id` has no part in it."""
-    return wire.job_id(hashlib.sha256(form(spec, key, again)).hexdigest()[: c.DIGITS])
+    return wire.job_id(hashlib.sha256(form(spec, key, again)).hexdigest()[: c.ID_HASH_DIGITS])
 
 
 def described(job: dict[str, Any], needs: list[str] | None = None) -> wire.JobSpec:
--- a/pepperlatch/pipelines/compile.py
+++ b/pepperlatch/pipelines/compile.py
@@ -138,8 +138,10 @@
             named.setdefault(step.name, []).append(_called(step, values))
         needed = {need for step in self.file.steps for need in step.needs}
         steps = [self._step(i, step, values, named, step.name in needed) for i, step, values in spread]
-        if len(steps) > c.STEPS:
-            self._wrong(("steps",), f"{len(steps)} steps once each matrix is written out; at most {c.STEPS} are taken")
+        if len(steps) > c.MAX_STEPS:
+            self._wrong(
+                ("steps",), f"{len(steps)} steps once each matrix is written out; at most {c.MAX_STEPS} are taken"
+            )
         return plans.Plan(self.file.name, steps, key)
 
     def _step(
@@ -207,7 +209,7 @@
 
 def _bounded(matrix: dict[str, list[Any]]) -> list[tuple[Any, ...]]:
     """As many as are taken and one more, so that a small file cannot ask for a billion."""
-    return list(itertools.islice(itertools.product(*matrix.values()), c.STEPS + 1))
+    return list(itertools.islice(itertools.product(*matrix.values()), c.MAX_STEPS + 1))
 
 
 def _called(step: model.Step, values: dict[str, Any]) -> str:
--- a/pepperlatch/pipelines/document.py
+++ b/pepperlatch/pipelines/document.py
@@ -65,8 +65,8 @@
 
 def load(data: bytes) -> Document:
     """Raises Mistakes."""
-    if len(data) > c.FILE_BYTES:
-        raise _mistake(Place(1, 1), f"the file has {len(data)} bytes; at most {c.FILE_BYTES} are read")
+    if len(data) > c.MAX_FILE_BYTES:
+        raise _mistake(Place(1, 1), f"the file has {len(data)} bytes; at most {c.MAX_FILE_BYTES} are read")
     try:
         text = data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
@@ -108,8 +108,8 @@
                 raise _mistake(_place(event.start_mark), "a second document; a file holds one pipeline")
         elif isinstance(event, yaml.CollectionStartEvent):
             depth += 1
-            if depth > c.FILE_DEPTH:
-                raise _mistake(_place(event.start_mark), f"nested more than {c.FILE_DEPTH} deep")
+            if depth > c.MAX_FILE_DEPTH:
+                raise _mistake(_place(event.start_mark), f"nested more than {c.MAX_FILE_DEPTH} deep")
         elif isinstance(event, yaml.CollectionEndEvent):
             depth -= 1
 
@@ -123,8 +123,8 @@
 
     def read(self, node: yaml.Node, path: Path) -> Any:
         self._count += 1
-        if self._count > c.FILE_NODES:
-            text = f"more than {c.FILE_NODES} values once aliases are written out"
+        if self._count > c.MAX_FILE_VALUES:
+            text = f"more than {c.MAX_FILE_VALUES} values once aliases are written out"
             raise _mistake(_place(node.start_mark), text)
         if id(node) in self._open:
             raise _mistake(_place(node.start_mark), "an alias to something that it is part of")
--- a/pepperlatch/pipelines/model.py
+++ b/pepperlatch/pipelines/model.py
@@ -26,7 +26,7 @@
 
 
 Name = Annotated[
-    str, Field(min_length=1, max_length=c.NAME_CHARS, pattern=r"^[A-Za-z0-9](?:[A-Za-z0-9_.-]*[A-Za-z0-9])?$")
+    str, Field(min_length=1, max_length=c.MAX_NAME_CHARS, pattern=r"^[A-Za-z0-9](?:[A-Za-z0-9_.-]*[A-Za-z0-9])?$")
 ]
 Text = Annotated[str, Field(min_length=1, max_length=1000)]
 Amount = Annotated[float, Field(ge=0, le=core.MAX_AMOUNT, allow_inf_nan=False)]
@@ -97,14 +97,14 @@
     """A pipeline of jobs with one deadline for the whole."""
 
     name: Name
-    key: Annotated[str, Field(max_length=c.KEY_CHARS, pattern=r"^[A-Za-z0-9_.:+-]*$")] = Field(
+    key: Annotated[str, Field(max_length=c.MAX_KEY_CHARS, pattern=r"^[A-Za-z0-9_.:+-]*$")] = Field(
         "", description="the occasion; the same jobs under another key are other jobs"
     )
     team: Text | None = Field(None, description="of all steps that name none")
     deadline: Seconds | None = Field(None, description="after the run's start; of all steps that nothing comes after")
     schedule: Schedule | None = Field(None, description="taken up by `pepperlatch pipeline schedule add`")
     defaults: Shared = Field(default_factory=lambda: Shared())
-    steps: Annotated[list[Step], Field(min_length=1, max_length=c.STEPS)]
+    steps: Annotated[list[Step], Field(min_length=1, max_length=c.MAX_STEPS)]
 
 
 def schema() -> dict[str, Any]:
--- a/pepperlatch/pipelines/part.py
+++ b/pepperlatch/pipelines/part.py
@@ -44,7 +44,7 @@
 
     async def handle(self, request: Request) -> Response:
         """Answers at a deadline; what was recorded by then goes on, and the same request again tells how it stands."""
-        with trio.move_on_after(c.ANSWER_S):
+        with trio.move_on_after(c.RUN_ANSWER_TIMEOUT_S):
             try:
                 return await self._service().handle(request)
             except (Away, Unsure):
@@ -72,4 +72,4 @@
                 lying = found
             except (Away, Unsure):
                 pass
-            await trio.sleep(c.LOOK_EVERY_S)
+            await trio.sleep(c.RUN_SCAN_INTERVAL_S)
--- a/pepperlatch/pipelines/plan.py
+++ b/pepperlatch/pipelines/plan.py
@@ -82,7 +82,7 @@
     """Raises BadPlan; a small text that unpacks to a huge one is refused without being unpacked whole."""
     try:
         inflater = zlib.decompressobj()
-        data = inflater.decompress(base64.b64decode(text, validate=True), c.PLAN_BYTES)
+        data = inflater.decompress(base64.b64decode(text, validate=True), c.MAX_PLAN_BYTES)
         if inflater.unconsumed_tail or not inflater.eof:
             raise BadPlan("the plan is cut short or too large")
         return msgspec.convert(orjson.loads(data), Plan)
@@ -114,7 +114,7 @@
 def digest(plan: Plan) -> str:
     """The same for every plan that asks for the same, in whatever order it is written."""
     asked = sorted((name, spec.id) for name, spec in specs(plan).items())
-    return hashlib.sha256(orjson.dumps([plan.address, asked])).hexdigest()[: c.DIGITS]
+    return hashlib.sha256(orjson.dumps([plan.address, asked])).hexdigest()[: c.ID_HASH_DIGITS]
 
 
 def problems(plan: Plan, repeats: Collection[str] | None = None) -> list[Problem]:
@@ -140,10 +140,10 @@
 def _names(plan: Plan) -> Iterator[Problem]:
     if not _is_name(plan.name):
         yield Problem(("name",), "a name is letters, digits, '_', '.' and '-', at most 60 of them")
-    if not KEY.fullmatch(plan.key) or len(plan.key) > c.KEY_CHARS:
+    if not KEY.fullmatch(plan.key) or len(plan.key) > c.MAX_KEY_CHARS:
         yield Problem(("key",), "a key is letters, digits and any of _.:+-, at most 60 of them")
-    if not 0 < len(plan.steps) <= c.STEPS:
-        yield Problem(("steps",), f"{len(plan.steps)} steps; from 1 to {c.STEPS} are taken")
+    if not 0 < len(plan.steps) <= c.MAX_STEPS:
+        yield Problem(("steps",), f"{len(plan.steps)} steps; from 1 to {c.MAX_STEPS} are taken")
     first: dict[str, int] = {}
     for i, step in enumerate(plan.steps):
         if not _is_name(step.name):
@@ -155,7 +155,7 @@
 
 
 def _is_name(text: str) -> bool:
-    return len(text) <= c.NAME_CHARS and NAME.fullmatch(text) is not None
+    return len(text) <= c.MAX_NAME_CHARS and NAME.fullmatch(text) is not None
 
 
 def _needs(plan: Plan) -> Iterator[Problem]:
@@ -207,7 +207,7 @@
         before, after = _asked(old[name]), _asked(new[name])
         fields = [f for f in sorted({*before, *after}) if before.get(f) != after.get(f)]
         found += [f"step {name!r}: {f} was {before.get(f)!r} and is {after.get(f)!r}" for f in fields]
-    return found[: c.DIFFERENCES_SHOWN]
+    return found[: c.MAX_DIFFERENCES_SHOWN]
 
 
 def _asked(step: Step) -> dict[str, Any]:
--- a/pepperlatch/pipelines/runs.py
+++ b/pepperlatch/pipelines/runs.py
@@ -58,7 +58,7 @@
 
 def record(address: str, digest: str, packed: str, at: float, value_kb: float) -> Change:
     """Write a run down, with all that it takes to go on by anybody."""
-    size = int(value_kb * 1024) - core.RECORD_BYTES
+    size = int(value_kb * 1024) - core.JOB_RECORD_OVERHEAD_BYTES
     pieces = store.cut(packed, size) if len(packed) > size else []
     run = RunRecord(Phase.OPEN, digest, at, "" if pieces else packed, len(pieces))
     writes = [put_run(address, run), wire.put(OPEN + address, {})]
@@ -78,7 +78,7 @@
         parts = store.parts_of(spec, limits.value_kb)
         changes = store.created(spec, parts, at, address)
         size += sum(len(orjson.dumps(change)) for change in changes)
-        if ids and (len(writes) + len(changes) > min(most, limits.txn_ops) or size > core.TXN_BYTES):
+        if ids and (len(writes) + len(changes) > min(most, limits.txn_ops) or size > core.MAX_TXN_BYTES):
             break
         when.append(wire.when(store.JOB + spec.id, 0))
         writes += changes
@@ -88,7 +88,7 @@
 
 def moved(address: str, run: RunRecord, version: int, phase: Phase, reason: str = "") -> Change:
     """To another phase; what has something left to do is kept where the leader looks."""
-    after = msgspec.structs.replace(run, phase=phase, reason=reason[: c.REASON_CHARS] or run.reason)
+    after = msgspec.structs.replace(run, phase=phase, reason=reason[: c.MAX_REASON_CHARS] or run.reason)
     mark = wire.put(OPEN + address, {}) if phase in PENDING else wire.delete(OPEN + address)
     return Change([wire.when(RUN + address, version)], [put_run(address, after), mark], [])
 
--- a/pepperlatch/pipelines/scheduler.py
+++ b/pepperlatch/pipelines/scheduler.py
@@ -65,7 +65,7 @@
     async def _list(self) -> Response:
         _, pairs = await self._state.read_all(keys.CRON)
         rows = [self._row(pair.key[len(keys.CRON) :], wire.convert(pair.value, ScheduleRecord)) for pair in pairs]
-        return Response(200, {"schedules": rows[: c.STEPS_PAGE], "total": len(rows)})
+        return Response(200, {"schedules": rows[: c.STEPS_PER_PAGE], "total": len(rows)})
 
     def _row(self, name: str, record: ScheduleRecord) -> dict[str, Any]:
         after = max(record.after, self._wall()) if record.missed == "skip" else record.after
--- a/pepperlatch/pipelines/schedules.py
+++ b/pepperlatch/pipelines/schedules.py
@@ -77,7 +77,7 @@
         return []
     found: list[float] = []
     for at in _back(record, now):
-        if now - at > c.MISSED_S:
+        if now - at > c.MISSED_AFTER_S:
             return found[::-1] or ([at] if record.missed == "run" else [])
         found.append(at)
     return found[::-1]
@@ -93,7 +93,7 @@
 
 def kept(name: str, version: int, record: ScheduleRecord, packed: str, held: int, value_kb: float) -> Change:
     """Write a schedule down with its plan; `held`: pieces of the one that it replaces."""
-    pieces = store.cut(packed, int(value_kb * 1024) - core.VALUE_SLACK_BYTES)
+    pieces = store.cut(packed, int(value_kb * 1024) - core.VALUE_OVERHEAD_BYTES)
     record = msgspec.structs.replace(record, pieces=len(pieces))
     writes = [wire.put(CRON + name, wire.to_plain(record))]
     writes += [wire.put(f"{SCHEDULED}{name}/{n}", {"text": text}) for n, text in enumerate(pieces)]
--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -64,7 +64,7 @@
         self._nursery = nursery
         self._driven: dict[str, trio.Event] = {}
         self._turn = trio.Lock()  # its queue is first come, first served: runs get their batches in turn
-        self._reads = trio.CapacityLimiter(c.READS_AT_ONCE)
+        self._reads = trio.CapacityLimiter(c.MAX_CONCURRENT_RUN_READS)
         self._schedules = Scheduler(self, core)
         self._plans: OrderedDict[tuple[str, str], tuple[Plan, dict[str, wire.JobSpec]]] = OrderedDict()
 
@@ -86,7 +86,7 @@
             return await self._schedules.handle(request.method, unquote(path[len(SCHEDULES) + 1 :]), request.body)
         address, _, verb = unquote(path[len(ROOT) :]).partition("/")
         if not address and request.method == "GET":
-            return Response(200, {"repeats": self._repeats, "steps": c.STEPS, "packed": c.PACKED_CHARS})
+            return Response(200, {"repeats": self._repeats, "steps": c.MAX_STEPS, "packed": c.MAX_PACKED_PLAN_CHARS})
         if address and (request.method, verb) == ("PUT", ""):
             return await self._put(address, request.body)
         if address and (request.method, verb) == ("GET", ""):
@@ -109,7 +109,7 @@
         wrong = plans.problems(plan, self._repeats)
         if not wrong and plan.address == address:
             return None
-        listed = [{"place": plans.where(p.path), "error": p.text} for p in wrong[: c.ERRORS_SHOWN]]
+        listed = [{"place": plans.where(p.path), "error": p.text} for p in wrong[: c.MAX_ERRORS_SHOWN]]
         if not wrong:
             listed = [{"place": "name", "error": f"the plan is that of {plan.address!r}, not of {address!r}"}]
         return Response(400, {"error": "the plan cannot be run", "problems": listed})
@@ -141,7 +141,7 @@
     def too_large(self, packed: str) -> Response | None:
         """With room for the record of a schedule that is moved in the same transaction."""
         changes = runs.changes_of(packed, self._limits.value_kb) + 1
-        if len(packed) <= c.PACKED_CHARS and changes <= self._limits.txn_ops:
+        if len(packed) <= c.MAX_PACKED_PLAN_CHARS and changes <= self._limits.txn_ops:
             return None
         return Response(400, {"error": "the plan is larger than what is recorded at once"})
 
@@ -150,7 +150,7 @@
         found: list[dict[str, Any]] = []
         named = plans.specs(plan)
         for number, step in enumerate(plan.steps):
-            if number % c.CHECKS_AT_ONCE == 0:
+            if number % c.CHECKS_PER_BATCH == 0:
                 await trio.sleep(0)
             spec = named[step.name]
             wrong = self._wrong(spec)
@@ -163,7 +163,7 @@
         if not found:
             return None
         status = min(problem["status"] for problem in found)
-        return Response(status, {"error": "refused whole, nothing was sent", "problems": found[: c.ERRORS_SHOWN]})
+        return Response(status, {"error": "refused whole, nothing was sent", "problems": found[: c.MAX_ERRORS_SHOWN]})
 
     def _wrong(self, spec: wire.JobSpec) -> tuple[int, str] | None:
         """What POST /work would refuse it with; Away if this node cannot tell yet. The one check for both paths."""
@@ -180,7 +180,7 @@
         """The answer once all its jobs are there or all are withdrawn; 202 if that takes longer."""
         if held.run.phase in runs.PENDING:
             ended = self.drive(held.address)
-            with trio.move_on_after(core.SUBMIT_WAIT_S):
+            with trio.move_on_after(core.SUBMIT_TIMEOUT_S):
                 await ended.wait()
                 held = await self._read(held.address) or held
         answer = {"run": held.address, "phase": held.run.phase.value, "steps": len(held.specs)}
@@ -197,14 +197,14 @@
         await self._core.watched.sync()
         names = list(held.specs)
         begin = int(after) if after.isdigit() else 0
-        rows = [self._row(held, name) for name in names[begin : begin + c.STEPS_PAGE]]
+        rows = [self._row(held, name) for name in names[begin : begin + c.STEPS_PER_PAGE]]
         answer: dict[str, Any] = {"run": address, "status": self._status(held), "phase": held.run.phase.value}
         if held.run.reason:
             answer["reason"] = held.run.reason
         answer["total"] = len(names)
         answer["rows"] = rows
-        if begin + c.STEPS_PAGE < len(names):
-            answer["next"] = begin + c.STEPS_PAGE
+        if begin + c.STEPS_PER_PAGE < len(names):
+            answer["next"] = begin + c.STEPS_PER_PAGE
         return Response(200, answer)
 
     def _row(self, held: Held, name: str) -> dict[str, Any]:
@@ -254,7 +254,7 @@
         await self._core.watched.sync()
         wrong = [] if await self._read(plan.address) else self._not_again(held, plan)
         if wrong:
-            return Response(409, {"error": "cannot be run again so", "problems": wrong[: c.ERRORS_SHOWN]})
+            return Response(409, {"error": "cannot be run again so", "problems": wrong[: c.MAX_ERRORS_SHOWN]})
         return await self._begin(plan)
 
     def _not_again(self, held: Held, plan: Plan) -> list[dict[str, str]]:
@@ -281,7 +281,7 @@
 
     async def _read(self, address: str) -> Held | None:
         """Linearizable. Away if too many wait already: polls of runs must not crowd out those of jobs."""
-        if self._reads.statistics().tasks_waiting >= c.READS_WAITING:
+        if self._reads.statistics().tasks_waiting >= c.MAX_WAITING_RUN_READS:
             raise Away("too many look at runs")
         async with self._reads:
             pair = await self._state.read(keys.RUN + address) if plans.ADDRESS.fullmatch(address) else None
@@ -296,7 +296,7 @@
         if known is None:
             plan = plans.unpack(run.plan or await self.joined(keys.PIECE + address, run.pieces))
             known = self._plans[(address, run.digest)] = (plan, plans.specs(plan))
-            if len(self._plans) > c.PLANS_KEPT:
+            if len(self._plans) > c.MAX_CACHED_PLANS:
                 self._plans.popitem(last=False)
         return known
 
@@ -355,7 +355,7 @@
             there = _jobs_of(outcome)
             present.update(there)
             if len(there) > 1 and outcome.failed:
-                await trio.sleep(c.YIELD_S)  # another node is at it: let it, but do not rely on it
+                await trio.sleep(c.OTHER_CREATOR_WAIT_S)  # another node is at it: let it, but do not rely on it
                 return
         await self.commit(runs.moved(held.address, held.run, held.version, Phase.SENT))
 
@@ -390,7 +390,7 @@
         """Wait until the budget has more than those may need who submit single jobs."""
         wanted = min(changes, self._state.later_most())
         while self._state.writes_spare() < wanted:
-            await trio.sleep(c.ROOM_POLL_S)
+            await trio.sleep(c.BUDGET_POLL_S)
 
     async def commit(self, change: Change) -> Outcome:
         return await self._state.txn(change.when, change.writes)
--- a/pepperlatch/policy/boots.py
+++ b/pepperlatch/policy/boots.py
@@ -15,19 +15,23 @@
     slow_s: dict[str, float] = field(default_factory=dict)  # what nine of ten of them took at most, if there are a few
 
     def came_up(self, kind: MachineType, seconds: float) -> None:
-        if seconds < c.BOOT_LEAST_S:  # it was up before we knew of it
+        if seconds < c.MIN_BOOT_S:  # it was up before we knew of it
             return
-        seen = self.seen.setdefault(kind.name, deque(maxlen=c.BOOTS_SEEN))
+        seen = self.seen.setdefault(kind.name, deque(maxlen=c.MAX_BOOTS_REMEMBERED))
         seen.append(seconds)
-        if len(seen) >= c.BOOTS_FEW:
-            self.slow_s[kind.name] = sorted(seen)[int(c.BOOT_SLOW_SHARE * (len(seen) - 1))]
+        if len(seen) >= c.MIN_BOOT_SAMPLES:
+            self.slow_s[kind.name] = sorted(seen)[int(c.SLOW_BOOT_QUANTILE * (len(seen) - 1))]
 
     def expected_s(self, kind: MachineType) -> float:
         """So long a machine that is booting is counted on."""
         slow_s = self.slow_s.get(kind.name, 0.0)
-        return max(c.BOOT_SPREAD * kind.boot_s, c.BOOT_SLOWER * slow_s) + c.BOOT_SLACK_S
+        return max(c.BOOT_EXPECTED_FACTOR * kind.boot_s, c.SLOW_BOOT_FACTOR * slow_s) + c.BOOT_MARGIN_S
 
     def patience_s(self, kind: MachineType) -> float:
         """After this a booting machine is taken to never come up."""
         slow_s = self.slow_s.get(kind.name, 0.0)
-        return max(c.BOOT_PATIENCE_LEAST_S, kind.boot_s * c.BOOT_PATIENCE, c.BOOT_PATIENCE * slow_s / c.BOOT_SPREAD)
+        return max(
+            c.MIN_BOOT_TIMEOUT_S,
+            kind.boot_s * c.BOOT_TIMEOUT_FACTOR,
+            c.BOOT_TIMEOUT_FACTOR * slow_s / c.BOOT_EXPECTED_FACTOR,
+        )
--- a/pepperlatch/policy/cancellations.py
+++ b/pepperlatch/policy/cancellations.py
@@ -54,9 +54,11 @@
 
     The leader may end at that very moment, and the answer to its successor's first request may be lost.
     """
-    successor_s = c.LEADER_LEASE_MS / 1000 + c.ELECTION_S
-    asking_s = c.SILENT_PROBES * (c.PROBE_S + c.TICK_S) + c.PROBE_S  # directly, then through others as well
-    lost_request_s = c.CLOUD_REQUEST_S + c.CLOUD_RETRY_S
+    successor_s = c.LEADER_LEASE_MS / 1000 + c.TAKEOVER_S
+    asking_s = (
+        c.MAX_UNANSWERED_PROBES * (c.PROBE_TIMEOUT_S + c.TICK_S) + c.PROBE_TIMEOUT_S
+    )  # directly, then through others as well
+    lost_request_s = c.CLOUD_REQUEST_TIMEOUT_S + c.CLOUD_RETRY_PAUSE_S
     takes_s = successor_s + _silence_s(workers) + asking_s + lost_request_s + c.RETURN_CONFIRM_S + c.TICK_S
     return max(0.0, workers.cancel_s - takes_s)
 
@@ -79,7 +81,7 @@
     silent_since = max(machine.seen_at, seen.started) + _silence_s(workers)
     if now <= silent_since or now - since <= return_after_s(workers):
         return Decision.WAIT
-    if machine.probes + machine.probes_unheard < (1 if machine.seen_at < 0 else c.SILENT_PROBES):
+    if machine.probes + machine.probes_unheard < (1 if machine.seen_at < 0 else c.MAX_UNANSWERED_PROBES):
         return Decision.ASK
     if seen.sure:
         return Decision.RETURN
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -162,7 +162,7 @@
     def last_heard(self) -> list[str]:
         """Machines that others should reach if they reach any: asked too by one that does not reach a silent one."""
         up = (m for m in self.machines.values() if m.status is Status.UP and m.seen_at >= 0)
-        return [m.addr for m in heapq.nlargest(c.WITNESS_ASKS, up, key=lambda m: (m.seen_at, m.name))]
+        return [m.addr for m in heapq.nlargest(c.MAX_WITNESSES, up, key=lambda m: (m.seen_at, m.name))]
 
     def cancelled_on(self, now: float) -> list[CancelledOn]:
         """The machines that may hold a task of a cancelled job; those that were not heard of for longest first."""
@@ -170,7 +170,7 @@
         found = [(m, self.cancelled_since(m, departed_since)) for m in self.machines.values() if m.addr]
         found = [(machine, since) for machine, since in found if math.isfinite(since)]
         found.sort(key=lambda row: (row[0].seen_at, row[0].name))
-        return [CancelledOn(m.name, m.addr, now - since) for m, since in found[: c.CANCELLED_TOLD_MOST]]
+        return [CancelledOn(m.name, m.addr, now - since) for m, since in found[: c.MAX_CANCELLED_MACHINES_SENT]]
 
     def explain(self, job: Job, reason: Reason, now: float) -> None:
         """State why the job waits, or that it does not."""
@@ -183,7 +183,7 @@
 
     def new_number(self) -> int:
         self._next += 1
-        return (self.token << c.ATTEMPT_SHIFT) + self._next
+        return (self.token << c.ATTEMPT_NUMBER_BITS) + self._next
 
     def place(self, job: Job, task: int, machine: Machine, now: float, number: int | None = None) -> Attempt:
         """Counts against room and limits from here on. The caller has taken the task off `waiting`."""
@@ -345,7 +345,7 @@
             arrived = report.session == machine.session and not shown.isdisjoint(machine.offered[1])
             machine.unheard = 0 if arrived else machine.unheard + 1
             machine.offered = None
-            if machine.unheard == c.UNHEARD_MOST:
+            if machine.unheard == c.MAX_LOST_LAUNCH_ANSWERS:
                 log.info("%s does not hear us", machine.name, extra={"machine": machine.name})
 
     def _older(self, machine: Machine, asked_at: float) -> None:
@@ -456,7 +456,7 @@
             attempt.phase = Phase.PLANNED
             if not attempt.wanted:
                 self._lose(attempt, now, attempt.stopped_for)
-            elif machine.unheard >= c.UNHEARD_MOST:
+            elif machine.unheard >= c.MAX_LOST_LAUNCH_ANSWERS:
                 self._lose(attempt, now, "its machine does not hear us")
             self.touched.add(machine)
 
@@ -501,7 +501,7 @@
             cause = task.why.value if task.why else "ended"
             self._remove(attempt, now, (task.why is Cause.STOPPED and attempt.stopped_for) or cause)
         if attempt is not None and attempt.sent_seq < 0 and task.why is not Cause.DONE:
-            machine.unreaped[(task.task, task.attempt)] = now + c.COPIES_S
+            machine.unreaped[(task.task, task.attempt)] = now + c.DUPLICATE_LAUNCH_WINDOW_S
         if parts and job is not None and task.why is Cause.DONE:
             self._finished(job, parts[1], attempt, now)
         if attempt is not None:
@@ -523,22 +523,22 @@
             attempt.machine.failed_tasks.clear()
             if job.spec.estimate_s > 0:
                 attempt.machine.pace.append((now - attempt.running_at) / job.spec.estimate_s)
-                del attempt.machine.pace[: -2 * c.SLOW_SAMPLES]
+                del attempt.machine.pace[: -2 * c.SLOW_MACHINE_SAMPLES]
 
     def _judge(self, machine: Machine, attempt: Attempt, task: TaskReport, now: float) -> None:
         """Errors count against the machine, and against the job once several machines saw them."""
         job = attempt.job
         if task.why is Cause.ERROR:
-            if now - machine.failed_at > c.ERROR_WINDOW_S:
+            if now - machine.failed_at > c.MACHINE_ERROR_WINDOW_S:
                 machine.failed_tasks.clear()
             machine.failed_at = now
             job.failed_on.add(machine.name)
-            if len(job.failed_on) < c.JOB_ERROR_MACHINES:
+            if len(job.failed_on) < c.FAULTY_JOB_MACHINES:
                 machine.failed_tasks.add(task.task)
             else:
-                job.pause_s = min(c.JOB_BACKOFF_MOST_S, max(c.JOB_BACKOFF_S, job.pause_s * 2))
+                job.pause_s = min(c.MAX_JOB_BACKOFF_S, max(c.JOB_BACKOFF_S, job.pause_s * 2))
                 job.not_before = now + job.pause_s
-            if len(machine.failed_tasks) >= c.ERROR_TASKS and not machine.quarantined:
+            if len(machine.failed_tasks) >= c.QUARANTINE_FAILED_TASKS and not machine.quarantined:
                 machine.quarantined = True
                 self.listener.machine(machine, "quarantined", "two tasks failed in a row", now)
                 failed = sorted(machine.failed_tasks)
@@ -594,12 +594,12 @@
         leader. What we sent into it counts from its beginning; what an earlier leader sent, from the end of that one's
         time (`blind_until`).
         """
-        lease_s = self.params.workers.lease_s * (1 + c.CLOCK_DRIFT) + c.LEASE_MARGIN_S
+        lease_s = self.params.workers.lease_s * (1 + c.CLOCK_DRIFT) + c.WORKER_LEASE_MARGIN_S
         last = max(machine.answered_at, self.delegations.answered_until(machine.name))
         if machine.name not in self.unaccounted:
             last = max(last, machine.began_by)
         if not machine.fenced:
-            last = max(last, self.blind_until + c.LEASE_MARGIN_S - lease_s)
+            last = max(last, self.blind_until + c.WORKER_LEASE_MARGIN_S - lease_s)
         return now > last + lease_s and all(
             (now <= other.barred_until and now > other.began_at + lease_s)
             or now > other.answered_at + self.hold_s + lease_s
--- a/pepperlatch/policy/fleet.py
+++ b/pepperlatch/policy/fleet.py
@@ -185,4 +185,4 @@
 def _score(offer: Offer, kind: MachineType, needs: list[Need], urgent: bool, least: Size) -> float:
     """Price per CPU put to use, a little more for types that boot slowly."""
     taken = bin_of(offer, kind).would_take(needs, least)
-    return price_of(offer, kind) / max(taken, EPS) * (1 + (kind.boot_s / c.BOOT_WORTH_S if urgent else 0))
+    return price_of(offer, kind) / max(taken, EPS) * (1 + (kind.boot_s / c.BOOT_PRICE_DOUBLING_S if urgent else 0))
--- a/pepperlatch/policy/images.py
+++ b/pepperlatch/policy/images.py
@@ -25,14 +25,14 @@
         self._number += 1
         self._uses.pop((machine, image), None)
         self._uses[(machine, image)] = (self._number, gb)
-        if len(self._uses) > c.IMAGE_USES_MOST:
+        if len(self._uses) > c.MAX_IMAGE_USES:
             del self._uses[next(iter(self._uses))]
 
     def after(self, number: int) -> list[Use]:
         """The uses after that number, the earliest first; a bounded count of them."""
         latest = ((held[0], *key, held[1]) for key, held in reversed(self._uses.items()))
         news = list(takewhile(lambda use: use[0] > number, latest))
-        return news[-c.IMAGE_USES_TOLD :][::-1]
+        return news[-c.MAX_IMAGE_USES_PER_ANSWER :][::-1]
 
     def learn(self, uses: Any) -> int:
         """Take in what another node told, leave what is not of that form; the highest of its numbers, or 0."""
--- a/pepperlatch/policy/pace.py
+++ b/pepperlatch/policy/pace.py
@@ -15,13 +15,13 @@
 class RoundPace:
     """Work is counted in machines looked at."""
 
-    per_s: float = c.PLAN_WORK_PER_S
+    per_s: float = c.INITIAL_PLAN_WORK_PER_S
 
     def most(self) -> float:
         """How much work the next round may do."""
-        return max(c.PLAN_WORK_LEAST, self.per_s * c.PLAN_ROUND_S)
+        return max(c.MIN_PLAN_WORK, self.per_s * c.MAX_PLAN_ROUND_S)
 
     def took(self, work: float, seconds: float) -> None:
         """A round did so much; one that was short is over before its length says anything."""
-        if work > 0 and seconds >= c.PLAN_MEASURED_S:
+        if work > 0 and seconds >= c.MIN_MEASURED_ROUND_S:
             self.per_s = (self.per_s + work / seconds) / 2
--- a/pepperlatch/policy/placement.py
+++ b/pepperlatch/policy/placement.py
@@ -23,8 +23,8 @@
         and machine.notice_at is None
         and machine.session > machine.over_session
         and now - machine.reached_at <= fresh_s
-        and now - machine.beat_at <= c.MUTE_TIMES * fresh_s
-        and machine.unheard < c.UNHEARD_MOST
+        and now - machine.beat_at <= c.OWN_HEARTBEAT_FACTOR * fresh_s
+        and machine.unheard < c.MAX_LOST_LAUNCH_ANSWERS
     )
 
 
@@ -89,17 +89,17 @@
 
 def fetch_s(machine: Machine, spec: JobSpec) -> float:
     """How long the image takes at worst, with the machine's rate for itself."""
-    return spec.image_gb / max(machine.type.fetch_gb_per_s, EPS) * c.FETCH_SPREAD
+    return spec.image_gb / max(machine.type.fetch_gb_per_s, EPS) * c.FETCH_TIME_FACTOR
 
 
 def pinned(machine: Machine, cheapest: float) -> bool:
     """Whether a replica would be the one for which a dear machine is kept, perhaps for hours."""
-    return not machine.holds_replicas() and machine.price() > c.PIN_RATIO * cheapest
+    return not machine.holds_replicas() and machine.price() > c.MAX_REPLICA_PRICE_FACTOR * cheapest
 
 
 def is_slow(machine: Machine) -> bool:
-    recent = machine.pace[-c.SLOW_SAMPLES :]
-    return len(recent) >= c.SLOW_SAMPLES and sorted(recent)[len(recent) // 2] > c.SLOW_FACTOR
+    recent = machine.pace[-c.SLOW_MACHINE_SAMPLES :]
+    return len(recent) >= c.SLOW_MACHINE_SAMPLES and sorted(recent)[len(recent) // 2] > c.SLOW_MACHINE_FACTOR
 
 
 class Candidates:
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -200,7 +200,7 @@
         if (
             spec.kind is Kind.SERVICE
             and not job.ran
-            and now - job.since < c.PIN_WAIT_S
+            and now - job.since < c.REPLICA_PRICE_WAIT_S
             and self._cheap_to_be_had(spec, now)
         ):
             cheapest = self._cheapest(spec)
@@ -213,7 +213,7 @@
         What has waited long and runs nothing begins all the same: one task, or all of a gang.
         """
         spec, entitled, thrifty = job.spec, self._entitled(job), self._thrifty(job, now)
-        waited_long = not job.live and now - job.idle_since > c.KEPT_ROOM_MOST_S
+        waited_long = not job.live and now - job.idle_since > c.MAX_RESERVATION_WAIT_S
 
         def free(machine: Machine) -> bool:
             if waited_long and (spec.kind is Kind.GANG or not job.live):
@@ -240,14 +240,14 @@
         if spec.kind is not Kind.ARRAY or not spec.spot or spec.id in self.inside or self._turns(job, now) <= 1:
             return False
         waited = now - job.since
-        return waited < c.THRIFT_SHARE * (waited + supply.slack_s(job, self.cluster.params.objectives, now))
+        return waited < c.CHEAP_ROOM_WAIT_SHARE * (waited + supply.slack_s(job, self.cluster.params.objectives, now))
 
     def _cheapest(self, spec: JobSpec) -> float:
         """The lowest price of an ordinary machine that the task fits."""
         return min((t.price for t in self.cluster.types.values() if fits_type(spec, t)), default=0.0)
 
     def _cheap_to_be_had(self, spec: JobSpec, now: float) -> bool:
-        most = self._cheapest(spec) * c.PIN_RATIO
+        most = self._cheapest(spec) * c.MAX_REPLICA_PRICE_FACTOR
         return any(
             self.blocked.get(Offer(t.name, zone, False), 0.0) <= now
             for t in self.cluster.types.values() if t.price <= most and fits_type(spec, t)
@@ -304,7 +304,7 @@
 
     def preempt(self, now: float) -> None:
         """Make room for what may preempt, stopping the tasks that lose least."""
-        left = c.PREEMPT_MOST
+        left = c.MAX_PREEMPTIONS_PER_ROUND
         inside = self.inside
         machines = self.usable(now) if self.needs else []
         running = (j for j in self.cluster.jobs.values() if j.live and j.spec.kind is Kind.ARRAY)
@@ -433,7 +433,7 @@
             for zone in self.dark
             for spot in (False, True)
         }
-        chosen = fleet.choose(needs, list(self.cluster.types.values()), blocked, c.HIRE_COUNT_MOST)
+        chosen = fleet.choose(needs, list(self.cluster.types.values()), blocked, c.MAX_MACHINES_PER_HIRE)
         short = shortage.Shortage(
             self.cluster.types, self.blocked, set(self.asked), self.dark, bins, self._first_up(now), now
         )
@@ -461,7 +461,7 @@
         if self.spare.spec is None or self.cluster.rebuilding():
             return []
         cheapest = self._cheapest(self.spare.spec)
-        homes = [t.name for t in self.cluster.types.values() if t.price <= c.PIN_RATIO * cheapest]
+        homes = [t.name for t in self.cluster.types.values() if t.price <= c.MAX_REPLICA_PRICE_FACTOR * cheapest]
         coming = sum(
             room.slots(self.spare.spec)
             for room in self.booting_bins(now)
@@ -498,7 +498,9 @@
         if job.spec.kind is not Kind.ARRAY or job.spec.estimate_s <= 0:
             return 1
         boot_s = max((kind.boot_s for kind in self.cluster.types.values()), default=0.0)
-        return 1 + max(0, int((self._patience_s(job, now) - boot_s) // (job.spec.estimate_s * c.ESTIMATE_CAUTION)))
+        return 1 + max(
+            0, int((self._patience_s(job, now) - boot_s) // (job.spec.estimate_s * c.ESTIMATE_SAFETY_FACTOR))
+        )
 
     def look_at_zone(self, name: str, seen: Seen, now: float) -> None:
         """Take in what is seen of a zone; nothing is rented where it would cost and never report."""
@@ -510,7 +512,7 @@
             self.cluster.listener.noted("dark", said, now)
 
     def refused(self, offer: Offer, now: float) -> None:
-        pause = min(c.NO_CAPACITY_PAUSE_MOST_S, max(c.NO_CAPACITY_PAUSE_S, self.pauses.get(offer, 0.0) * 2))
+        pause = min(c.MAX_NO_CAPACITY_PAUSE_S, max(c.NO_CAPACITY_PAUSE_S, self.pauses.get(offer, 0.0) * 2))
         self.pauses[offer] = pause
         self.blocked[offer] = now + pause
 
@@ -546,7 +548,7 @@
         """A spot machine is kept as much longer as it is cheaper: for the same money it may save a boot."""
         since = machine.idle_since if machine.idle_since is not None else now
         idle_s = self.tuning["idle_s"] * machine.type.price / max(machine.price(), EPS)
-        return now - since >= idle_s and now - machine.born >= c.MIN_CHARGE_S - c.CHARGE_SLACK_S
+        return now - since >= idle_s and now - machine.born >= c.MIN_CHARGE_S - c.RETURN_LEAD_S
 
     # --- draining ---------------------------------------------------------------------------------
 
--- a/pepperlatch/policy/prerequisites.py
+++ b/pepperlatch/policy/prerequisites.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from pepperlatch.constants.core import STEP_S
+from pepperlatch.constants.core import CHAIN_STEP_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     def before(self, standing: Standing) -> Standing:
         """The standing that a job needs for this one, which has that standing, to be done in time."""
         chained = standing.due < math.inf
-        return Standing(standing.rank, standing.due - self.run_s - STEP_S, standing.after + 1 if chained else 0)
+        return Standing(standing.rank, standing.due - self.run_s - CHAIN_STEP_S, standing.after + 1 if chained else 0)
 
 
 @dataclass(slots=True)
--- a/pepperlatch/policy/reasons.py
+++ b/pepperlatch/policy/reasons.py
@@ -111,8 +111,8 @@
 
 
 def named(job_ids: Sequence[str]) -> str:
-    more = len(job_ids) - c.NAMES_SHOWN
-    return ", ".join(job_ids[: c.NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
+    more = len(job_ids) - c.MAX_NAMES_SHOWN
+    return ", ".join(job_ids[: c.MAX_NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
 
 
 def _together(r: Reason) -> str:
--- a/pepperlatch/policy/routes.py
+++ b/pepperlatch/policy/routes.py
@@ -37,12 +37,14 @@
         there = [node for node, other in self.zones.items() if other == zone]
         if there:
             self.foreign_at = now
-        hears = [node for node in there if now - self.hears_at.get(node, float("-inf")) < c.HOME_HEARS_S]
+        hears = [
+            node for node in there if now - self.hears_at.get(node, float("-inf")) < c.PREFERRED_CONTROLLER_VALID_S
+        ]
         return max(hears, key=lambda node: crc32(f"{machine} {node}".encode()), default=None)
 
     def look(self, now: float) -> list[str]:
         """Nodes to ask whether they hear the leader: only while workers of their zones report here."""
-        if now - self.foreign_at > c.HOME_LOOK_S:
+        if now - self.foreign_at > c.PREFERRED_CONTROLLER_PROBE_PERIOD_S:
             return []
         return [node for node in self.zones if node != self.node]
 
@@ -55,14 +57,14 @@
     def send(self, machine: str, now: float) -> bool:
         """Whether the worker may be sent elsewhere; one that is soon back had no success there."""
         sent = self.sent.get(machine)
-        if sent is None or (now - sent.at > c.RELAY_AFTER_S and now > sent.here_until):
+        if sent is None or (now - sent.at > c.FORWARD_IF_BACK_WITHIN_S and now > sent.here_until):
             self.sent[machine] = _Sent(now)
             return True
         if now > sent.here_until:
-            sent.here_until = now + c.RELAY_STICKY_S
+            sent.here_until = now + c.FORWARD_PERIOD_S
         return False
 
     def keep(self, machines: Iterable[str], now: float) -> None:
         """Take these workers' reports here for a while: the leader does not reach them."""
         for name in machines:
-            self.sent[name] = _Sent(now, now + c.RELAY_STICKY_S)
+            self.sent[name] = _Sent(now, now + c.FORWARD_PERIOD_S)
--- a/pepperlatch/policy/supply.py
+++ b/pepperlatch/policy/supply.py
@@ -39,7 +39,7 @@
     the run times behind it, which are only estimated.
     """
     waited, spec = now - job.since, job.spec
-    run_s = spec.estimate_s * c.ESTIMATE_CAUTION
+    run_s = spec.estimate_s * c.ESTIMATE_SAFETY_FACTOR
     slack = [(job.due_at - now - run_s) / (1 + job.after)] if job.due_at is not None else []
     for aim in objectives:
         if aim.job_class == spec.job_class and aim.within_s is not None:
@@ -74,9 +74,9 @@
             ends.append(aim.within_s - (spec.estimate_s if aim.kind == "finished" else 0.0))
         elif aim.kind == "guarantee" and inside:
             ends.append(aim.within_s)
-    if ends and waited > c.LOST_AIMS_TIMES * max(ends):
+    if ends and waited > c.MISSED_OBJECTIVE_FACTOR * max(ends):
         return job.since
-    return job.since + min((end for end in ends if end > waited + c.START_S), default=math.inf)
+    return job.since + min((end for end in ends if end > waited + c.TASK_START_S), default=math.inf)
 
 
 def absorb(need: Need, places: list[Place], patience_s: float) -> None:
@@ -142,7 +142,7 @@
         self.usual = min(self.wanted, int(statistics.median(s.tasks for s in replicas))) if replicas else 0
         self._fetched_at = {}
         for spec in replicas:
-            rate = spec.image_gb * c.FETCH_SPREAD / max(start_s(spec), EPS)
+            rate = spec.image_gb * c.FETCH_TIME_FACTOR / max(start_s(spec), EPS)
             self._fetched_at[spec.image] = max(rate, self._fetched_at.get(spec.image, 0.0))
         self._slots, self._total, self._holding = {}, 0, Counter()
         for machine in machines if self.spec else ():
--- a/pepperlatch/policy/turns.py
+++ b/pepperlatch/policy/turns.py
@@ -34,7 +34,7 @@
     """Whether others leave a gang that is ahead what comes free. Half of the time only: it may never come free."""
     if job.spec.kind is not Kind.GANG or not overdue(job, now):
         return False
-    return (now - job.since - c.OVERDUE_GANG_S) % (2 * c.HOLD_BACK_S) < c.HOLD_BACK_S
+    return (now - job.since - c.OVERDUE_GANG_S) % (2 * c.GANG_RESERVATION_S) < c.GANG_RESERVATION_S
 
 
 def held_for(job: Job, machines: Iterable[Machine], zones: Iterable[str]) -> set[Machine]:
--- a/pepperlatch/policy/zones.py
+++ b/pepperlatch/policy/zones.py
@@ -26,11 +26,11 @@
     answers: bool | None
 
     def most(self) -> bool:
-        share = c.SILENT_SHARE_ALONE if self.answers is None else c.SILENT_SHARE
-        return self.up >= c.MACHINES_LEAST and self.silent >= share * self.up
+        share = c.CUT_SILENT_SHARE_WITHOUT_CONTROLLER if self.answers is None else c.CUT_SILENT_SHARE
+        return self.up >= c.MIN_MACHINES and self.silent >= share * self.up
 
     def few(self) -> bool:
-        return self.silent < c.BACK_SHARE * self.up
+        return self.silent < c.RECOVERED_SILENT_SHARE * self.up
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
         after = self._next(seen, now)
         if after is self.state:
             return False
-        if after is State.CUT and now - self.cut_at > c.KEEP_S:
+        if after is State.CUT and now - self.cut_at > c.CUT_KEEP_S:
             self.cut_at = now  # one that flaps is one cut
         self.state, self.since = after, now
         return True
@@ -58,14 +58,14 @@
         if seen.most() and seen.answers is not True:
             return State.CUT
         if self.state is State.BACK:
-            return State.BACK if now - self.since < c.BACK_S else State.WHOLE
+            return State.BACK if now - self.since < c.RECOVERY_S else State.WHOLE
         if seen.most() or (self.state is State.DOUBTFUL and not seen.few()):
             return State.DOUBTFUL
         return State.WHOLE
 
     def _next_of_cut(self, seen: Seen, now: float) -> State:
         if not seen.up:  # nothing of ours is there to tell: it is tried again after a while
-            return State.CUT if now - self.told_at < c.TRY_AGAIN_S else State.WHOLE
+            return State.CUT if now - self.told_at < c.EMPTY_ZONE_RETRY_S else State.WHOLE
         return State.BACK if seen.few() or (seen.answers is True and not seen.most()) else State.CUT
 
 
@@ -86,7 +86,8 @@
         """Where nothing is rented: it would cost and not report."""
         return {
             name for name, zone in self.of.items()
-            if zone.state is State.CUT or (zone.state is State.DOUBTFUL and now - zone.since >= c.DOUBT_S)
+            if zone.state is State.CUT
+            or (zone.state is State.DOUBTFUL and now - zone.since >= c.DOUBTFUL_STOP_RENTING_S)
         }  # fmt: skip
 
     def kept(self, name: str, now: float) -> bool:
@@ -95,5 +96,5 @@
         if zone is None or zone.state not in (State.CUT, State.BACK):
             return False
         if zone.state is State.BACK:  # one that died meanwhile must not hold up what waits for all to be accounted for
-            return now - zone.since < c.BACK_KEEP_S
-        return now - zone.cut_at < c.KEEP_S
+            return now - zone.since < c.RECOVERY_KEEP_S
+        return now - zone.cut_at < c.CUT_KEEP_S
--- a/pepperlatch/protocol/cloud.py
+++ b/pepperlatch/protocol/cloud.py
@@ -26,14 +26,14 @@
         self._network = network
         self._addr = addr
         self._clock = clock
-        self._budget = Budget(limits.rps * c.CLOUD_SHARE, c.CLOUD_BURST_S)
+        self._budget = Budget(limits.rps * c.CLOUD_RATE_SHARE, c.CLOUD_BURST_S)
 
     async def _call(self, method: str, path: str, body: Any = None) -> Any:
         wait = self._budget.wait_for(self._clock())
         if wait > 0:
             await trio.sleep(wait)
         try:
-            status, answer = await self._network.request(self._addr, method, path, body, c.CLOUD_REQUEST_S)
+            status, answer = await self._network.request(self._addr, method, path, body, c.CLOUD_REQUEST_TIMEOUT_S)
         except (NotSent, Lost) as error:
             raise CloudTrouble(str(error)) from None
         if status == 503 and isinstance(answer, dict) and answer.get("error") == "no capacity":
--- a/pepperlatch/protocol/http/client.py
+++ b/pepperlatch/protocol/http/client.py
@@ -33,7 +33,7 @@
 
     unpacker = zlib.decompressobj(16 + zlib.MAX_WBITS)
     try:
-        plain = unpacker.decompress(data, c.UNPACKED_BYTES)
+        plain = unpacker.decompress(data, c.MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise h11.RemoteProtocolError(f"not gzip: {error}") from None
     if unpacker.unconsumed_tail or not unpacker.eof:
@@ -77,7 +77,7 @@
         """As `request`, with what the answer says in Retry-After between the two ("" if nothing)."""
         payload = b"" if body is None else orjson.dumps(body)
         started = trio.current_time()
-        link = await self._link(addr, min(c.CONNECT_S, deadline_s))
+        link = await self._link(addr, min(c.CONNECT_TIMEOUT_S, deadline_s))
         kept = False
         try:
             with trio.fail_after(max(0.01, deadline_s - (trio.current_time() - started))):
@@ -155,7 +155,7 @@
         if (
             link.conn.our_state is not h11.DONE
             or link.conn.their_state is not h11.DONE
-            or len(idle) >= c.POOL_IDLE_PER_PEER
+            or len(idle) >= c.MAX_IDLE_CONNECTIONS_PER_ADDRESS
         ):
             return False
         link.conn.start_next_cycle()
--- a/pepperlatch/protocol/http/server.py
+++ b/pepperlatch/protocol/http/server.py
@@ -84,7 +84,7 @@
                 return
             if request is None:
                 return
-            crowded = self._open > c.CROWDED_SHARE * self._most and not self._keeps(request)
+            crowded = self._open > c.HIGH_CONNECTION_SHARE * self._most and not self._keeps(request)
             await self._write(conn, stream, await self._answer(request), close=crowded)
             if conn.our_state is not h11.DONE or conn.their_state is not h11.DONE:
                 return
@@ -134,8 +134,8 @@
         if conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         await self._write(conn, stream, Response(refused.status, {"error": str(refused)}), close=True)
-        left = c.LINGER_BYTES
-        with trio.move_on_after(c.LINGER_S):
+        left = c.REFUSAL_DRAIN_BYTES
+        with trio.move_on_after(c.REFUSAL_DRAIN_S):
             if isinstance(stream, trio.SocketStream):
                 await stream.send_eof()
             while left > 0 and (data := await stream.receive_some(c.READ_CHUNK_BYTES)):
--- a/pepperlatch/protocol/state.py
+++ b/pepperlatch/protocol/state.py
@@ -54,7 +54,7 @@
         self._nodes = nodes
         self._clock = clock
         self._requests = Budget(limits.rps)
-        self._writes = Elastic(limits.write_rps, recover_s=c.STATE_RECOVER_S)
+        self._writes = Elastic(limits.write_rps, recover_s=c.WRITE_RATE_RECOVERY_S)
         self.share(False)
         self.good_at = clock()
         self.bad_at = -1.0
@@ -83,11 +83,11 @@
         writes = self._writes
         saved = writes.available(self._clock())
         full = saved >= writes.rate * writes.burst_s
-        return max(int(full), int(saved - c.LATER_SHARE * writes.rate * writes.burst_s))
+        return max(int(full), int(saved - c.BACKGROUND_WRITE_RESERVE_SHARE * writes.rate * writes.burst_s))
 
     def later_most(self) -> int:
         """How many changes a write that nobody waits for may have, to find its turn at all."""
-        return max(1, int((1 - c.LATER_SHARE) * self._writes.least * self._writes.burst_s))
+        return max(1, int((1 - c.BACKGROUND_WRITE_RESERVE_SHARE) * self._writes.least * self._writes.burst_s))
 
     def reachable(self) -> bool:
         return self.good_at >= self.bad_at
@@ -98,7 +98,7 @@
         self.bad_at = self._clock()
 
     async def _call(
-        self, method: str, path: str, body: Any = None, seconds: float = c.STATE_REQUEST_S, urgent: bool = False
+        self, method: str, path: str, body: Any = None, seconds: float = c.STATE_REQUEST_TIMEOUT_S, urgent: bool = False
     ) -> tuple[int, Any]:
         wait = self._requests.wait_for(self._clock(), 1.0, urgent)
         if wait > 0:
@@ -149,13 +149,13 @@
 
     async def changes(self, prefix: str, after: int, wait_ms: int) -> wire.Changes | None:
         """What changed since; None if the service no longer keeps changes so old."""
-        seconds = c.STATE_REQUEST_S + wait_ms / 1000
+        seconds = c.STATE_REQUEST_TIMEOUT_S + wait_ms / 1000
         status, answer = await self._call("GET", wire.watch_path(prefix, after, wait_ms), None, seconds)
         return None if status == 410 else _checked(answer, wire.Changes)
 
     async def txn(
         self, conditions: list[dict[str, Any]], writes: list[dict[str, Any]], urgent: bool = False,
-        seconds: float = c.STATE_REQUEST_S,
+        seconds: float = c.STATE_REQUEST_TIMEOUT_S,
     ) -> Outcome:  # fmt: skip
         """Somebody waits for most of them, so they do not stand in line behind reads, which make up for it.
 
@@ -174,7 +174,7 @@
 
     async def _write(self, body: dict[str, Any], count: int, urgent: bool, seconds: float) -> tuple[int, Any]:
         """Tried again while the service is busy, as long as an answer may take; cancelled, it may be carried out."""
-        until = self._clock() + c.STATE_REQUEST_S
+        until = self._clock() + c.STATE_REQUEST_TIMEOUT_S
         while True:
             wait = self._writes.wait_for(self._clock(), count, urgent)
             if wait > 0:
--- a/pepperlatch/protocol/workers.py
+++ b/pepperlatch/protocol/workers.py
@@ -13,12 +13,12 @@
     def __init__(self, network: Network) -> None:
         self._network = network
 
-    async def inspect(self, addr: str, seconds: float = c.PROBE_S) -> wire.Report:
+    async def inspect(self, addr: str, seconds: float = c.PROBE_TIMEOUT_S) -> wire.Report:
         _, answer = await self._network.request(addr, "GET", wire.INSPECT, None, seconds)
         return _report(answer)
 
     async def command(
-        self, addr: str, token: int, session: int, orders: list[dict[str, Any]], seconds: float = c.COMMAND_S
+        self, addr: str, token: int, session: int, orders: list[dict[str, Any]], seconds: float = c.COMMAND_TIMEOUT_S
     ) -> tuple[bool, wire.Report]:
         """Whether the orders were executed, and the worker's report after them."""
         body = wire.commands_body(token, session, orders)
--- a/pepperlatch/scale/bounds.py
+++ b/pepperlatch/scale/bounds.py
@@ -19,23 +19,23 @@
 def memory_mb(scenario: Scenario) -> float:
     """What a run is reckoned to need."""
     workers = scenario.workers + scenario.spare_workers
-    hollow = (scenario.hosts + 2) * c.MEMORY_HOST_MB + workers * c.MEMORY_WORKER_MB
-    return scenario.controllers * c.MEMORY_CONTROLLER_MB + hollow
+    hollow = (scenario.hosts + 2) * c.HOST_PROCESS_MEMORY_MB + workers * c.WORKER_MEMORY_MB
+    return scenario.controllers * c.CONTROLLER_MEMORY_MB + hollow
 
 
 def files(scenario: Scenario) -> int:
     """File handles that one process of hollow workers needs."""
     workers = scenario.workers + scenario.spare_workers
-    return -(-workers // scenario.hosts) * c.FILES_WORKER + c.FILES_SPARE
+    return -(-workers // scenario.hosts) * c.FILES_PER_WORKER + c.FILES_PER_PROCESS
 
 
 def check(scenario: Scenario) -> None:
     """Raises TooLarge."""
-    if process_count(scenario) > c.PROCESSES_MOST:
-        raise TooLarge(f"{process_count(scenario)} processes, at most {c.PROCESSES_MOST} are allowed")
+    if process_count(scenario) > c.MAX_PROCESSES:
+        raise TooLarge(f"{process_count(scenario)} processes, at most {c.MAX_PROCESSES} are allowed")
     needed_mb = memory_mb(scenario)
-    if needed_mb > c.MEMORY_MOST_MB:
-        raise TooLarge(f"some {needed_mb:.0f} MB, at most {c.MEMORY_MOST_MB} are allowed")
+    if needed_mb > c.MAX_MEMORY_MB:
+        raise TooLarge(f"some {needed_mb:.0f} MB, at most {c.MAX_MEMORY_MB} are allowed")
     if needed_mb > memory_available_mb():
         raise TooLarge(f"some {needed_mb:.0f} MB, the machine has {memory_available_mb():.0f} available")
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
--- a/pepperlatch/scale/cloud.py
+++ b/pepperlatch/scale/cloud.py
@@ -102,7 +102,7 @@
         return plain
 
     def _hire(self, body: Any) -> Response:
-        name, zone, count = body["hire"], body["yard"], min(int(body["count"]), c.HIRE_MOST)
+        name, zone, count = body["hire"], body["yard"], min(int(body["count"]), c.MAX_MACHINES_PER_HIRE)
         if name not in self._hires:
             numbers = [] if body["loaners"] else self._free(zone, count)
             if not numbers:
--- a/pepperlatch/scale/control.py
+++ b/pepperlatch/scale/control.py
@@ -66,7 +66,7 @@
     """Send a message; what was answered. Raises ControlFailed."""
     body = msgspec.to_builtins(message) if message is not None else {}
     try:
-        status, answer = await network.request(address, "POST", path, body, c.CONTROL_S)
+        status, answer = await network.request(address, "POST", path, body, c.CONTROL_TIMEOUT_S)
     except (NotSent, Lost) as error:
         raise ControlFailed(f"{address}{path}: {error}") from None
     if status != 200:
--- a/pepperlatch/scale/host.py
+++ b/pepperlatch/scale/host.py
@@ -86,14 +86,14 @@
             self._wake = trio.Event()
             started = time.monotonic()
             pause_s = await self._report(started)
-            interval_s = report_s * (1 + c.REPORT_SPREAD * (2 * spread.random() - 1))
+            interval_s = report_s * (1 + c.REPORT_INTERVAL_SPREAD * (2 * spread.random() - 1))
             if pause_s > 0:
                 await trio.sleep(pause_s)
                 continue
             with trio.move_on_after(max(0.0, started + interval_s - time.monotonic())):
                 if not self.machine.changed:
                     await self._wake.wait()
-            await trio.sleep(max(0.0, started + c.REPORT_GAP_S - time.monotonic()))
+            await trio.sleep(max(0.0, started + c.MIN_REPORT_INTERVAL_S - time.monotonic()))
 
     async def _report(self, sent_at: float) -> float:
         """One report; the seconds to wait before the next controller is tried, 0 if it stays."""
@@ -101,13 +101,13 @@
         self.machine.changed = False
         address = self._host.addresses.controller(node)
         try:
-            status, answer = await self._network.request(address, "POST", wire.REPORT, body, c.ANSWER_S)
+            status, answer = await self._network.request(address, "POST", wire.REPORT, body, c.REPORT_ANSWER_TIMEOUT_S)
         except (NotSent, Lost):
             status, answer = 0, None
         now = time.monotonic()
         self._host.count_answer(node, status, now - sent_at, body, answer)
-        if now < self.paused_until or now - sent_at > c.ANSWER_S:
-            return c.NEXT_NODE_S
+        if now < self.paused_until or now - sent_at > c.REPORT_ANSWER_TIMEOUT_S:
+            return c.NEXT_CONTROLLER_PAUSE_S
         if status == 200:
             self.machine.take_answer(answer, session, sent_at, now)
             self.touched()
@@ -116,9 +116,9 @@
         self._network.close()
         if named is None or named == node:
             self._node = (node + 1) % self._host.controllers
-            return c.NEXT_NODE_S
+            return c.NEXT_CONTROLLER_PAUSE_S
         self._node = named
-        return max(0.001, self._host.random.random() * c.REDIRECT_S)
+        return max(0.001, self._host.random.random() * c.MAX_REDIRECT_PAUSE_S)
 
     async def _wait_out(self) -> None:
         while (left := self.paused_until - time.monotonic()) > 0:
--- a/pepperlatch/scale/machine.py
+++ b/pepperlatch/scale/machine.py
@@ -239,7 +239,7 @@
 
 def _length(task: str) -> float:
     """How long the task runs, in times of its job's mean; the same wherever it runs."""
-    return 1 + c.RUN_SPREAD * (2 * crc32(task.encode()) / 0xFFFFFFFF - 1)
+    return 1 + c.TASK_LENGTH_SPREAD * (2 * crc32(task.encode()) / 0xFFFFFFFF - 1)
 
 
 def needs_of(spec: wire.JobSpec) -> JobNeeds:
--- a/pepperlatch/scale/measures.py
+++ b/pepperlatch/scale/measures.py
@@ -18,10 +18,10 @@
     """Delays in seconds; can be sent to another process and added up there."""
 
     def __init__(self, encoded: str = "") -> None:
-        self._histogram = HdrHistogram.decode(encoded) if encoded else HdrHistogram(1, c.HIGHEST_US, 3)
+        self._histogram = HdrHistogram.decode(encoded) if encoded else HdrHistogram(1, c.MAX_DELAY_US, 3)
 
     def add(self, seconds: float) -> None:
-        self._histogram.record_value(min(c.HIGHEST_US, max(1, round(seconds * 1e6))))
+        self._histogram.record_value(min(c.MAX_DELAY_US, max(1, round(seconds * 1e6))))
 
     def add_all(self, other: "Delays") -> None:
         self._histogram.add(other._histogram)
--- a/pepperlatch/scale/observer.py
+++ b/pepperlatch/scale/observer.py
@@ -51,7 +51,7 @@
     cancel_asked: bool = False
     cancelled_at: float = math.inf
     unanswered_since: float = math.inf
-    recent: deque[AnyEvent] = field(default_factory=lambda: deque(maxlen=c.HISTORY_SHOWN))
+    recent: deque[AnyEvent] = field(default_factory=lambda: deque(maxlen=c.BREACH_EVENTS_SHOWN))
 
 
 class Observer:
@@ -181,15 +181,17 @@
         good = event.status in (200, 404)
         self._answers.append((event.at, good))
         self._answered += good
-        while self._answers and self._answers[0][0] < event.at - c.FORGOTTEN_S:
+        while self._answers and self._answers[0][0] < event.at - c.MAX_UNANSWERED_POLLS_S:
             self._answered -= self._answers.popleft()[1]
         if good:
             job.unanswered_since = math.inf
             return
         job.unanswered_since = min(job.unanswered_since, event.asked_at)
-        silent = event.at - job.unanswered_since > c.FORGOTTEN_S
+        silent = event.at - job.unanswered_since > c.MAX_UNANSWERED_POLLS_S
         if silent and job.accepted_at < job.unanswered_since and 2 * self._answered > len(self._answers):
-            self._broken("forgotten", event.at, f"{event.job}: no poll was answered for {c.FORGOTTEN_S:g} s", job)
+            self._broken(
+                "forgotten", event.at, f"{event.job}: no poll was answered for {c.MAX_UNANSWERED_POLLS_S:g} s", job
+            )
             job.unanswered_since = math.inf
 
 
--- a/pepperlatch/scale/processes.py
+++ b/pepperlatch/scale/processes.py
@@ -74,7 +74,7 @@
     for process in processes:
         if process.running is not None and process.alive():
             process.running.terminate()
-    until = time.monotonic() + c.STOP_S
+    until = time.monotonic() + c.STOP_TIMEOUT_S
     for process in processes:
         if process.running is None:
             continue
--- a/pepperlatch/scale/runner.py
+++ b/pepperlatch/scale/runner.py
@@ -126,10 +126,10 @@
             raise group.exceptions[0] from None
 
     async def _wait_until_healthy(self) -> None:
-        until = time.monotonic() + c.START_S
+        until = time.monotonic() + c.START_TIMEOUT_S
         while time.monotonic() < until:
             self._check_alive()
-            await trio.sleep(c.SAMPLE_S)
+            await trio.sleep(c.SAMPLE_INTERVAL_S)
             try:
                 users = await control.tell(self._network, self.addresses.users(), control.STATISTICS)
             except control.ControlFailed:
@@ -137,7 +137,9 @@
             self.show(Progress(f"{users['healthy']} controllers healthy", 0.0, self.scenario.length_s))
             if users["healthy"] == self.scenario.controllers:
                 return
-        raise RunFailed(f"not all controllers are healthy after {c.START_S:g} s; their logs are in {self.folder}")
+        raise RunFailed(
+            f"not all controllers are healthy after {c.START_TIMEOUT_S:g} s; their logs are in {self.folder}"
+        )
 
     def _check_alive(self) -> None:
         for process in self._all():
@@ -157,14 +159,14 @@
                     return
             except (NotSent, Lost, KeyError, TypeError):
                 pass
-            await trio.sleep(c.SAMPLE_S)
+            await trio.sleep(c.SAMPLE_INTERVAL_S)
         raise RunFailed("idle_s could not be set through the administration API")
 
     async def _wait(self, stage: str, seconds: float) -> None:
         """Look at all processes every now and then until the time is over."""
         began = looked_at = time.monotonic()
         while (elapsed := time.monotonic() - began) < seconds:
-            await trio.sleep(min(c.SAMPLE_S, seconds - elapsed))
+            await trio.sleep(min(c.SAMPLE_INTERVAL_S, seconds - elapsed))
             self._check_alive()
             before = {process.name: process.cpu_s() for process in self._all()}
             for process in self._all():
--- a/pepperlatch/scale/state_service.py
+++ b/pepperlatch/scale/state_service.py
@@ -105,7 +105,7 @@
         return Response(200, _pair(key, held))
 
     def _page(self, query: dict[str, str]) -> Response:
-        under, most = query["under"], min(int(query.get("page", c.PAGE_MOST)), c.PAGE_MOST)
+        under, most = query["under"], min(int(query.get("page", c.MAX_PAGE_ITEMS)), c.MAX_PAGE_ITEMS)
         first = query.get("after", "")
         pairs: list[dict[str, Any]] = []
         more = False
@@ -174,7 +174,7 @@
                 self._put(write["set"], write["value"], write.get("tenancy"))
             else:
                 self._delete(write["delete"])
-        while len(self._log) > c.CHANGES_KEPT:
+        while len(self._log) > c.MAX_CHANGES_KEPT:
             self._forgotten = self._log.popleft().revision
         self._changed.set()
         self._changed = trio.Event()
@@ -225,7 +225,7 @@
     async def end_leases(self) -> None:
         """Ends leases that nobody renewed, never early; runs until it is cancelled."""
         while True:
-            await trio.sleep(c.LEASE_LATE_S)
+            await trio.sleep(c.MAX_LEASE_DELAY_S)
             now = self._clock()
             for number in [number for number, lease in self._leases.items() if lease.ends_at < now]:
                 self._end(number)
--- a/pepperlatch/scale/users.py
+++ b/pepperlatch/scale/users.py
@@ -54,11 +54,13 @@
         network = HttpNetwork(2)
         while True:
             try:
-                status, _ = await network.request(self._addresses[index], "GET", wire.HEALTH, None, c.PROBE_EVERY_S)
+                status, _ = await network.request(
+                    self._addresses[index], "GET", wire.HEALTH, None, c.HEALTH_PROBE_INTERVAL_S
+                )
                 self._healthy[index] = status == 200
             except (NotSent, Lost):
                 self._healthy[index] = False
-            await trio.sleep(c.PROBE_EVERY_S)
+            await trio.sleep(c.HEALTH_PROBE_INTERVAL_S)
 
     def healthy(self) -> int:
         return sum(self._healthy)
@@ -95,7 +97,7 @@
     async def _poll(self) -> None:
         while True:
             await trio.sleep(POLL_EVERY_S * self._users.random.uniform(0.8, 1.2))
-            answer = await self._ask("poll", "GET", f"{wire.JOBS}/{self._spec.id}", None, c.POLL_TRY_S)
+            answer = await self._ask("poll", "GET", f"{wire.JOBS}/{self._spec.id}", None, c.USER_POLL_TIMEOUT_S)
             if answer.state in (wire.JobState.DONE.value, wire.JobState.CANCELLED.value):
                 return
 
@@ -103,7 +105,7 @@
         """Until it is answered for good, for a minute; whether it was taken."""
         until = time.monotonic() + REPEAT_S
         while time.monotonic() < until:
-            answer = await self._ask(request, method, path, body, c.USER_TRY_S)
+            answer = await self._ask(request, method, path, body, c.USER_SUBMIT_TIMEOUT_S)
             if answer.status in (200, 201):
                 return True
             if answer.status in (400, 404, 422):
@@ -226,7 +228,7 @@
         while True:
             await trio.sleep(3600 / self.scenario.changes_per_hour)
             turn += 1
-            with trio.move_on_after(c.SETTINGS_TRY_S) as scope:
+            with trio.move_on_after(c.SETTINGS_TIMEOUT_S) as scope:
                 await self._change(SETTING_VALUES[turn % 2])
             self._changes_failed += scope.cancelled_caught
 
