--- a/pepperlatch/command/service.py
+++ b/pepperlatch/command/service.py
@@ -9,7 +9,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import HttpNetwork, Lost, NotSent
+from pepperlatch.protocol.http.client import HttpNetwork, NotSent, NoUsableResponse
 from pepperlatch.settings import SettingsError, split_address
 
 OK, REFUSED, USAGE, UNREACHABLE = 0, 1, 2, 3  # exit codes
@@ -64,7 +64,7 @@
             status, retry_after, answer = await self.network.ask(node, method, path, body, seconds)
         except NotSent:
             return None, c.MIN_USER_RETRY_PAUSE_S, f"{node} cannot be reached"
-        except Lost:
+        except NoUsableResponse:
             return None, c.MIN_USER_RETRY_PAUSE_S, f"{node} gave no answer"
         if status not in LATER:
             return (status, answer), 0.0, ""
--- a/pepperlatch/console/part.py
+++ b/pepperlatch/console/part.py
@@ -17,7 +17,7 @@
 from pepperlatch.controller.parts import Core, Part
 from pepperlatch.policy.events import Listener
 from pepperlatch.protocol.http.server import Request, Response, Server
-from pepperlatch.protocol.state import Away, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown
 from pepperlatch.settings import split_address
 
 if TYPE_CHECKING:
@@ -108,5 +108,5 @@
                 recorder.money.sample(leader.cluster.machines.values(), self._core.clock())
             try:
                 await saving.save()
-            except (Away, Unsure) as error:
+            except (NotExecuted, OutcomeUnknown) as error:
                 log.debug("time lines are saved later: %s", error)
--- a/pepperlatch/console/saving.py
+++ b/pepperlatch/console/saving.py
@@ -18,7 +18,7 @@
 from pepperlatch.controller import store
 from pepperlatch.controller.parts import Core
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.state import Away, Refused, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown, Rejected
 
 if TYPE_CHECKING:
     from pepperlatch.controller.leader import Leader
@@ -54,7 +54,7 @@
             try:
                 _, pairs = await self._core.state.read_all(PREFIX)
                 break
-            except (Away, Unsure):
+            except (NotExecuted, OutcomeUnknown):
                 await trio.sleep(c.SAVE_BUDGET_POLL_S)
         else:
             return
@@ -83,7 +83,10 @@
     # --- saving -------------------------------------------------------------------------------------
 
     async def save(self) -> None:
-        """One saving, piece by piece as the budget has room. Raises Away or Unsure; the slot is then no saving."""
+        """One saving, piece by piece as the budget has room.
+
+        Raises NotExecuted or OutcomeUnknown; the slot is then no saving.
+        """
         changed = self._recorder.changed
         if changed == self._saved:
             return
@@ -108,7 +111,7 @@
         lead = wire.when(store.LEADER, self._leader.term.token)
         try:
             outcome = await self._core.state.txn([lead], [wire.put(key, wire.to_plain(piece))])
-        except Refused as error:
+        except Rejected as error:
             log.info("time lines cannot be saved: %s", error)
             return False
         return outcome.applied
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -25,7 +25,7 @@
 from pepperlatch.policy.reasons import changes_when
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.budget import Budget
-from pepperlatch.protocol.http.client import Lost, NotSent
+from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Request, Response, compressed
 
 if TYPE_CHECKING:
@@ -227,7 +227,7 @@
                         answer["node"] = self._core.settings.node
                     after = {"Retry-After": str(c.BUSY_RETRY_S)} if status == 503 else {}
                     return Response(status, answer, after)
-            except (NotSent, Lost):
+            except (NotSent, NoUsableResponse):
                 pass
             why = f"{peer.node}, which leads, does not answer this node"
         return self._of_records(path, text, why)
--- a/pepperlatch/controller/admin.py
+++ b/pepperlatch/controller/admin.py
@@ -12,7 +12,7 @@
 from pepperlatch.policy.tuning import KNOBS, BadValue, Tuning, checked
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
-from pepperlatch.protocol.state import Away, StateClient, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown, StateClient
 
 SETTINGS, VIEW = "/admin/settings", "/admin/view"
 
@@ -46,7 +46,7 @@
                 return Response(200, self._describe())
             if request.path == SETTINGS and request.method == "PUT":
                 return await self._change(request.body)
-        except (Away, Unsure):
+        except (NotExecuted, OutcomeUnknown):
             return _away(request)
         return Response(404, {"error": "no such path"})
 
--- a/pepperlatch/controller/contacts.py
+++ b/pepperlatch/controller/contacts.py
@@ -24,7 +24,7 @@
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.model import Status
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Response
 from pepperlatch.settings import Peer, Settings
 
@@ -215,6 +215,6 @@
         try:
             body = msgspec.to_builtins(message)
             status, answer = await self._network.request(peer.addr, "POST", path, body, c.PROBE_TIMEOUT_S)
-        except (NotSent, Lost):
+        except (NotSent, NoUsableResponse):
             return None
         return answer if status == 200 and isinstance(answer, dict) else None
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -28,8 +28,8 @@
 from pepperlatch.policy.images import ImageMemory
 from pepperlatch.policy.reasons import Reason, Why
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.cloud import CloudClient, CloudTrouble
-from pepperlatch.protocol.http.client import HttpNetwork, Lost, Network, NotSent
+from pepperlatch.protocol.cloud import CloudClient, CloudError
+from pepperlatch.protocol.http.client import HttpNetwork, Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Request, Response, Server
 from pepperlatch.protocol.state import StateClient
 from pepperlatch.protocol.wire import Report
@@ -246,7 +246,7 @@
         """What another controller says of itself; nothing good if that cannot be read, None if it does not answer."""
         try:
             status, answer = await self._network.request(peer.addr, "GET", PEER_HEALTH, None, c.PROBE_TIMEOUT_S)
-        except (NotSent, Lost):
+        except (NotSent, NoUsableResponse):
             return None
         return answer if status == 200 and isinstance(answer, dict) else {}
 
@@ -255,7 +255,7 @@
         while not self.replica.types and not self.users.types:
             try:
                 self.users.types = await self.cloud.types()
-            except CloudTrouble:
+            except CloudError:
                 await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
 
     # --- views ------------------------------------------------------------------------------------
--- a/pepperlatch/controller/health.py
+++ b/pepperlatch/controller/health.py
@@ -18,7 +18,7 @@
 from pepperlatch.policy.model import Machine, Status
 from pepperlatch.policy.zones import Seen as ZoneSeen
 from pepperlatch.policy.zones import Zones
-from pepperlatch.protocol.http.client import Lost, NotSent
+from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
 from pepperlatch.protocol.wire import Report
 from pepperlatch.protocol.workers import WorkerClient
 
@@ -62,7 +62,7 @@
             async with self._fencing:
                 if machine.name not in self._duty.cluster.unaccounted or self._duty.term.over:
                     return
-                with contextlib.suppress(NotSent, Lost):
+                with contextlib.suppress(NotSent, NoUsableResponse):
                     executed, report = await self._show_token(machine, max(1, machine.session))
                     if not executed and report.session != max(1, machine.session):
                         executed, _ = await self._show_token(machine, report.session)
@@ -77,7 +77,7 @@
             executed, report = await self._workers.command(
                 machine.addr, self._duty.term.token, session, [], c.FENCE_TIMEOUT_S
             )
-        except (NotSent, Lost):
+        except (NotSent, NoUsableResponse):
             machine.fence_failed = True
             fenced = await self._peers.fence(machine.addr, machine.zone, self._duty.term.token, session)
             executed, report, through_others = fenced.executed, fenced.report, True
@@ -220,7 +220,7 @@
     async def _probe(self, machine: Machine) -> None:
         report: Report | None = None
         sent = self._duty.clock()
-        with contextlib.suppress(NotSent, Lost):
+        with contextlib.suppress(NotSent, NoUsableResponse):
             report = await self._workers.inspect(machine.addr)
         through_others, heard = False, True
         if report is None and (machine.probes + 1 >= c.MAX_UNANSWERED_PROBES or machine.seen_at < 0):
--- a/pepperlatch/controller/heartbeats/forwarding.py
+++ b/pepperlatch/controller/heartbeats/forwarding.py
@@ -13,7 +13,7 @@
 import trio
 
 from pepperlatch.constants import core as c
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 
 PEER_HEARTBEAT, PEER_HEARTBEATS = "/peer/beat", "/peer/beats"
 Answer = tuple[int, Any]
@@ -44,7 +44,10 @@
         self._alone_until: dict[str, float] = {}  # versions that take one at a time, and until when that is believed
 
     async def forward(self, addr: str, plain: Any, seconds: float) -> Answer:
-        """Status and answer, as of a request of its own. Raises NotSent or Lost; cancelled, it may be taken in."""
+        """Status and answer, as of a request of its own.
+
+        Raises NotSent or NoUsableResponse; cancelled, it may be taken in.
+        """
         item = _Forwarded(addr, plain)
         self._queue.append(item)
         self._wake.set()
@@ -55,7 +58,7 @@
         if item.outcome is None:
             if item in self._queue:  # its worker has no time left; nobody would read the answer
                 self._queue.remove(item)
-            raise Lost(f"{addr}: no answer within {seconds:.1f} s")
+            raise NoUsableResponse(f"{addr}: no answer within {seconds:.1f} s")
         return item.outcome
 
     async def run(self) -> None:
@@ -96,7 +99,7 @@
     async def _one(self, item: _Forwarded) -> None:
         try:
             item.settle(await self._network.request(item.addr, "POST", PEER_HEARTBEAT, item.plain, c.FORWARD_TIMEOUT_S))
-        except (NotSent, Lost) as error:
+        except (NotSent, NoUsableResponse) as error:
             item.settle(error)
 
     async def _several(self, batch: list[_Forwarded]) -> None:
@@ -104,7 +107,7 @@
         body = {"beats": [item.plain for item in batch], "node": self._node}
         try:
             status, answer = await self._network.request(addr, "POST", PEER_HEARTBEATS, body, c.FORWARD_TIMEOUT_S)
-        except (NotSent, Lost) as error:
+        except (NotSent, NoUsableResponse) as error:
             for item in batch:
                 item.settle(error)
             return
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -20,7 +20,7 @@
 from pepperlatch.policy.model import split_task
 from pepperlatch.policy.routes import Routes
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Response
 from pepperlatch.protocol.state import StateClient
 from pepperlatch.protocol.wire import Report
@@ -145,7 +145,7 @@
                 return Response(200, answer)
         except NotSent:
             refused = True
-        except Lost:
+        except NoUsableResponse:
             pass
         finally:
             self.delegated.gave_up(report)
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -29,8 +29,8 @@
 from pepperlatch.policy.tuning import Tuning
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.cloud import CloudClient
-from pepperlatch.protocol.http.client import Lost, NotSent
-from pepperlatch.protocol.state import Away, StateClient, Unsure
+from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown, StateClient
 from pepperlatch.protocol.wire import Report
 from pepperlatch.protocol.workers import WorkerClient
 from pepperlatch.settings import Settings
@@ -114,7 +114,7 @@
             try:
                 if self.replica.revision >= self.term.token:
                     return (await self._state.read_all(store.FLEET))[1]
-            except (Away, Unsure):
+            except (NotExecuted, OutcomeUnknown):
                 pass
             await trio.sleep(c.MIN_WATCH_INTERVAL_S)
         return None
@@ -376,7 +376,7 @@
             executed, report = await self._workers.command(machine.addr, self.term.token, session, orders)
         except NotSent:
             executed, pause = False, c.COMMAND_TIMEOUT_S / 2
-        except Lost:
+        except NoUsableResponse:
             pause = c.COMMAND_TIMEOUT_S
         self.owner.post(lambda: self._commanded(machine, report, sent, launched, executed, pause))
 
--- a/pepperlatch/controller/leaderless.py
+++ b/pepperlatch/controller/leaderless.py
@@ -16,8 +16,8 @@
 from pepperlatch.controller.peers import Peers
 from pepperlatch.controller.store import Replica
 from pepperlatch.policy.cancellations import CancelledOn, return_after_s
-from pepperlatch.protocol.cloud import CloudClient, CloudTrouble
-from pepperlatch.protocol.http.client import Lost, NotSent
+from pepperlatch.protocol.cloud import CloudClient, CloudError
+from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
 from pepperlatch.protocol.workers import WorkerClient
 from pepperlatch.settings import Workers
 
@@ -91,7 +91,7 @@
             await self._release(silent)
 
     async def _ask(self, held: _Told, reaches: bool) -> None:
-        with contextlib.suppress(NotSent, Lost):
+        with contextlib.suppress(NotSent, NoUsableResponse):
             await self._workers.inspect(held.addr)
             held.unanswered = 0
             return
@@ -105,7 +105,7 @@
         log.info("nobody leads: return %s: silent, perhaps with a cancelled task", ", ".join(names))
         try:
             await self._cloud.release(names)
-        except CloudTrouble as error:
+        except CloudError as error:
             log.info("release: %s", error)
             return
         for name in names:
--- a/pepperlatch/controller/leadership.py
+++ b/pepperlatch/controller/leadership.py
@@ -12,7 +12,7 @@
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.state import Away, LeaseGone, StateClient, Unsure
+from pepperlatch.protocol.state import LeaseGone, NotExecuted, OutcomeUnknown, StateClient
 
 log = logging.getLogger(__name__)
 
@@ -88,7 +88,7 @@
         while True:
             try:
                 term = await self._win()
-            except (Away, Unsure, LeaseGone):
+            except (NotExecuted, OutcomeUnknown, LeaseGone):
                 await trio.sleep(c.STATE_RETRY_S)
                 continue
             if term is None:
@@ -119,7 +119,7 @@
         write: dict[str, Any] = wire.put(store.LEADER, {"node": self._node}, lease)
         try:
             outcome = await self._state.txn([wire.when(store.LEADER, 0)], [write], urgent=True)
-        except (Away, Unsure):  # if it comes to be applied nobody would lead until the lease ends
+        except (NotExecuted, OutcomeUnknown):  # if it comes to be applied nobody would lead until the lease ends
             await self._give_back(lease)
             raise
         if not outcome.applied:
@@ -140,7 +140,7 @@
     async def _give_back(self, lease: int) -> None:
         try:
             await self._state.revoke(lease)
-        except (Away, Unsure):
+        except (NotExecuted, OutcomeUnknown):
             log.info("lease %d could not be given back; it will end by itself", lease)
 
     async def _keep(self, term: Term) -> None:
@@ -164,7 +164,7 @@
             term.checked_at = max(term.checked_at, sent)
         except LeaseGone:
             term.over = True
-        except (Away, Unsure):
+        except (NotExecuted, OutcomeUnknown):
             return
 
     def check_key(self) -> None:
--- a/pepperlatch/controller/peers.py
+++ b/pepperlatch/controller/peers.py
@@ -9,7 +9,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Request, Response
 from pepperlatch.protocol.wire import Report
 from pepperlatch.protocol.workers import WorkerClient
@@ -61,7 +61,7 @@
                 if status == 200:
                     found.append(wire.convert(answer, Report))
                     nursery.cancel_scope.cancel()
-            except (NotSent, Lost, msgspec.ValidationError, AttributeError):
+            except (NotSent, NoUsableResponse, msgspec.ValidationError, AttributeError):
                 return
 
         async with trio.open_nursery() as nursery:
@@ -82,9 +82,9 @@
                 if status == 200:
                     fenced: Fenced = wire.convert(answer, Fenced)
                     return fenced
-            except (NotSent, Lost, msgspec.ValidationError):
+            except (NotSent, NoUsableResponse, msgspec.ValidationError):
                 continue
-        raise Lost(f"{addr}: through nobody")
+        raise NoUsableResponse(f"{addr}: through nobody")
 
     # --- being asked ------------------------------------------------------------------------------
 
@@ -99,7 +99,7 @@
         message = wire.convert(orjson.loads(body), InspectMessage)
         try:
             return Response(200, wire.to_plain(await self._workers.inspect(message.addr)))
-        except (NotSent, Lost) as error:
+        except (NotSent, NoUsableResponse) as error:
             return Response(504, {"error": str(error), "reaches": await self.reaches(message.others)})
 
     async def reaches(self, others: list[str]) -> bool:
@@ -108,7 +108,7 @@
 
         async def ask(addr: str) -> None:
             nonlocal reached
-            with contextlib.suppress(NotSent, Lost, SettingsError):
+            with contextlib.suppress(NotSent, NoUsableResponse, SettingsError):
                 await self._workers.inspect(addr)
                 reached = True
                 nursery.cancel_scope.cancel()
@@ -124,6 +124,6 @@
             executed, report = await self._workers.command(
                 message.addr, message.token, message.session, [], c.FENCE_TIMEOUT_S
             )
-        except (NotSent, Lost) as error:
+        except (NotSent, NoUsableResponse) as error:
             return Response(504, {"error": str(error)})
         return Response(200, wire.to_plain(Fenced(executed, report)))
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -12,7 +12,7 @@
 from pepperlatch.policy.fleet import Offer
 from pepperlatch.policy.model import Machine, Status
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.cloud import CloudClient, CloudTrouble, NoCapacity
+from pepperlatch.protocol.cloud import CloudClient, CloudError, NoCapacity
 
 log = logging.getLogger(__name__)
 
@@ -66,7 +66,7 @@
                 names = await self._cloud.hire(name, record.type, record.zone, record.spot, record.count)
             except NoCapacity:
                 names = None
-            except CloudTrouble as error:
+            except CloudError as error:
                 log.info("hire %s: %s", name, error)
                 await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
                 continue
@@ -120,7 +120,7 @@
                 types = await self._cloud.types()
                 self._duty.owner.post(lambda t=types: self._on_types(t))  # type: ignore[misc]
                 await trio.sleep(c.PRICE_POLL_INTERVAL_S)
-            except CloudTrouble:
+            except CloudError:
                 await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
 
     def _on_types(self, types: list[wire.MachineType]) -> None:
@@ -143,7 +143,7 @@
             try:
                 listed = await self._cloud.machines()
                 self._duty.owner.post(lambda x=listed: self._on_list(x))  # type: ignore[misc]
-            except CloudTrouble as error:
+            except CloudError as error:
                 log.info("machine list: %s", error)
             await trio.sleep(c.CLOUD_LIST_INTERVAL_S)
 
@@ -202,7 +202,7 @@
             await self._cloud.release(names)
             self._duty.owner.post(lambda: self._released(names))
             self._duty.cluster.to_release.difference_update(names)
-        except CloudTrouble as error:
+        except CloudError as error:
             log.info("release: %s", error)
             await trio.sleep(c.CLOUD_RETRY_PAUSE_S)
 
--- a/pepperlatch/controller/store.py
+++ b/pepperlatch/controller/store.py
@@ -25,7 +25,7 @@
 from pepperlatch.constants import core as c
 from pepperlatch.policy.prerequisites import Prerequisites, Standing
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.state import Away, StateClient, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown, StateClient
 
 WATCHED = "j/"
 LEADER = "j/leader"
@@ -447,7 +447,7 @@
                 if not await self._read(c.WATCH_WAIT_MS):
                     await self._reload()
                 await trio.sleep(c.MIN_WATCH_INTERVAL_S)
-            except (Away, Unsure):
+            except (NotExecuted, OutcomeUnknown):
                 await trio.sleep(c.STATE_RETRY_S)
 
     async def _read(self, wait_ms: int) -> bool:
@@ -471,16 +471,19 @@
         self._on_change(self.replica.reload(revision, pairs, trio.current_time()))
 
     async def sync(self) -> None:
-        """Return once the replica holds all that was written before this call; Away if it can't, or not in time."""
+        """Return once the replica holds all that was written before this call.
+
+        Raises NotExecuted if it can't, or not in time.
+        """
         if not self.replica.loaded or not self._state.reachable():
-            raise Away("no current reading of the state service")
+            raise NotExecuted("no current reading of the state service")
         reading = _Sync()
         self._waiting.append(reading)
         self._wanted.set()
         with trio.move_on_after(c.SYNC_TIMEOUT_S):
             await reading.settled.wait()
         if not reading.good:
-            raise Away("no current reading of the state service")
+            raise NotExecuted("no current reading of the state service")
 
     async def serve_syncs(self) -> None:
         """One read for all that wait at its start; a slow one holds up few of those that come later."""
@@ -501,7 +504,7 @@
         good = False
         try:
             good = await self._read(0)
-        except (Away, Unsure):
+        except (NotExecuted, OutcomeUnknown):
             pass
         finally:
             flying.release_on_behalf_of(token)
@@ -517,5 +520,5 @@
         while True:
             await trio.sleep(c.FRESHNESS_CHECK_INTERVAL_S)
             if wanted() and trio.current_time() - self.replica.current_at >= c.FRESHNESS_CHECK_INTERVAL_S:
-                with contextlib.suppress(Away):
+                with contextlib.suppress(NotExecuted):
                     await self.sync()
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -19,7 +19,7 @@
 from pepperlatch.policy.reasons import Reason, Why
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
-from pepperlatch.protocol.state import Away, Outcome, Refused, StateClient, Unsure
+from pepperlatch.protocol.state import NotExecuted, Outcome, OutcomeUnknown, Rejected, StateClient
 from pepperlatch.protocol.wire import JobSpec, JobState, Kind, MachineType
 from pepperlatch.settings import Settings
 
@@ -156,7 +156,7 @@
                     return await self.cancel(job_id)
                 if verb == "" and request.method == "GET":
                     return await self.poll(job_id)
-        except (Away, Unsure):
+        except (NotExecuted, OutcomeUnknown):
             return later()
         return Response(404, {"error": "no such path"})
 
@@ -284,14 +284,14 @@
             writes = [change for s in batch for change in s.changes(self._wall())]
             try:
                 outcome = await self._create_now([wire.when(key, 0) for key in keys], writes)
-            except Refused as error:
+            except Rejected as error:
                 if len(batch) == 1:
                     log.error("%s is refused: %s", keys[0], error)
                     return
                 for submission in batch:  # one of them is at fault, and must not take the others along
                     await self._commit([submission])
                 return
-            except (Away, Unsure) as error:
+            except (NotExecuted, OutcomeUnknown) as error:
                 log.debug("submissions put off: %s", error)
                 return
             if outcome.applied:
@@ -307,7 +307,7 @@
         """Once more if there is no answer: its user waits, and an id that is there by then is simply known."""
         try:
             return await self._state.txn(conditions, writes, seconds=c.SUBMIT_TXN_TIMEOUT_S)
-        except Unsure:
+        except OutcomeUnknown:
             return await self._state.txn(conditions, writes)
 
     # --- looking up and cancelling ----------------------------------------------------------------
--- a/pepperlatch/controller/vouching.py
+++ b/pepperlatch/controller/vouching.py
@@ -19,7 +19,7 @@
 from pepperlatch.controller import store
 from pepperlatch.controller.leadership import Leadership, Term
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Response
 from pepperlatch.settings import Peer
 
@@ -138,7 +138,7 @@
         if peer is None:
             return
         body = wire.to_plain(Cancelled(job_id, wire.to_plain(record), version))
-        with contextlib.suppress(NotSent, Lost):
+        with contextlib.suppress(NotSent, NoUsableResponse):
             await self._network.request(peer.addr, "POST", PEER_CANCELLED, body, c.CANCEL_NOTIFY_TIMEOUT_S)
 
     async def _ask(self, peer: Peer, question: Question) -> Statement | None:
@@ -147,5 +147,5 @@
             status, answer = await self._network.request(peer.addr, "POST", PEER_VOUCH, body, c.PROBE_TIMEOUT_S)
             statement: Statement | None = wire.convert(answer, Statement) if status == 200 else None
             return statement
-        except (NotSent, Lost, msgspec.ValidationError):
+        except (NotSent, NoUsableResponse, msgspec.ValidationError):
             return None
--- a/pepperlatch/controller/writer.py
+++ b/pepperlatch/controller/writer.py
@@ -18,7 +18,7 @@
 from pepperlatch.controller import store
 from pepperlatch.controller.leadership import Term
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.state import Away, LeaseGone, Refused, StateClient, Unsure
+from pepperlatch.protocol.state import LeaseGone, NotExecuted, OutcomeUnknown, Rejected, StateClient
 
 log = logging.getLogger(__name__)
 
@@ -66,11 +66,11 @@
                 continue
             try:
                 await self._commit(batch)
-            except Refused as error:
+            except Rejected as error:
                 self._refuse(batch, error)
-            except (Away, Unsure, LeaseGone) as error:
+            except (NotExecuted, OutcomeUnknown, LeaseGone) as error:
                 log.debug("write put off: %s", error)
-                self._unanswered = isinstance(error, Unsure)
+                self._unanswered = isinstance(error, OutcomeUnknown)
                 self._queue.extendleft(reversed(batch))
                 await trio.sleep(c.STATE_RETRY_S)
 
@@ -79,7 +79,7 @@
         with trio.move_on_after(c.BACKGROUND_WRITE_RETRY_S if self._later else c.REFUSED_WRITE_RETRY_S):
             await self._wake.wait()
 
-    def _refuse(self, batch: list[Write], error: Refused) -> None:
+    def _refuse(self, batch: list[Write], error: Rejected) -> None:
         """Each by itself next; the one at fault is named and goes out of the others' way."""
         if len(batch) > 1:
             self._queue.extendleft(reversed([_alone(write) for write in batch]))
@@ -124,7 +124,7 @@
             else:  # this was tried before, without an answer, and was carried out
                 held = await self._state.read(store.TURN)
                 self.turn = held.version if held is not None else 0
-        except (Away, Unsure, LeaseGone) as error:
+        except (NotExecuted, OutcomeUnknown, LeaseGone) as error:
             log.debug("turn not moved on: %s", error)
             return False
         self._unanswered = False
--- a/pepperlatch/pipelines/part.py
+++ b/pepperlatch/pipelines/part.py
@@ -15,7 +15,7 @@
 from pepperlatch.controller.users import later
 from pepperlatch.pipelines import keys
 from pepperlatch.protocol.http.server import Request, Response
-from pepperlatch.protocol.state import Away, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown
 
 if TYPE_CHECKING:
     from pepperlatch.pipelines.service import Service
@@ -33,9 +33,9 @@
         self._nursery: trio.Nursery | None = None
 
     def _service(self) -> "Service":
-        """Raises Away while the part is between two lives."""
+        """Raises NotExecuted while the part is between two lives."""
         if self._nursery is None:
-            raise Away("pipelines are being started")
+            raise NotExecuted("pipelines are being started")
         if self._made is None:
             from pepperlatch.pipelines.service import Service
 
@@ -47,7 +47,7 @@
         with trio.move_on_after(c.RUN_ANSWER_TIMEOUT_S):
             try:
                 return await self._service().handle(request)
-            except (Away, Unsure):
+            except (NotExecuted, OutcomeUnknown):
                 pass
         return later()
 
@@ -70,6 +70,6 @@
                     self._service().take_up(found & lying)
                     await self._service().run_due(pairs)
                 lying = found
-            except (Away, Unsure):
+            except (NotExecuted, OutcomeUnknown):
                 pass
             await trio.sleep(c.RUN_SCAN_INTERVAL_S)
--- a/pepperlatch/pipelines/scheduler.py
+++ b/pepperlatch/pipelines/scheduler.py
@@ -119,7 +119,10 @@
     # --- what is due ------------------------------------------------------------------------------
 
     async def run_due(self, marks: Sequence[wire.KeyValue]) -> None:
-        """The leader's; Away or Unsure if the state service does not answer: the next look goes on from there."""
+        """The leader's.
+
+        Raises NotExecuted or OutcomeUnknown if the state service does not answer: the next look goes on from there.
+        """
         for pair in marks:
             if pair.key.startswith(keys.CRON):
                 record = wire.convert(pair.value, ScheduleRecord)
--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -28,7 +28,7 @@
 from pepperlatch.pipelines.scheduler import Scheduler
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
-from pepperlatch.protocol.state import Away, Outcome, Refused, Unsure
+from pepperlatch.protocol.state import NotExecuted, Outcome, OutcomeUnknown, Rejected
 
 log = logging.getLogger(__name__)
 ROOT, SCHEDULES = "/pipelines/", "/schedules"
@@ -166,10 +166,13 @@
         return Response(status, {"error": "refused whole, nothing was sent", "problems": found[: c.MAX_ERRORS_SHOWN]})
 
     def _wrong(self, spec: wire.JobSpec) -> tuple[int, str] | None:
-        """What POST /work would refuse it with; Away if this node cannot tell yet. The one check for both paths."""
+        """What POST /work would refuse it with; NotExecuted if this node cannot tell yet.
+
+        The one check for both paths.
+        """
         try:
             if self._core.users.check(wire.to_plain(spec)) is None:
-                raise Away("the machine types are not known yet")
+                raise NotExecuted("the machine types are not known yet")
         except Malformed as error:
             return 400, str(error)
         except Impossible as error:
@@ -280,9 +283,9 @@
     # --- reading ----------------------------------------------------------------------------------
 
     async def _read(self, address: str) -> Held | None:
-        """Linearizable. Away if too many wait already: polls of runs must not crowd out those of jobs."""
+        """Linearizable. NotExecuted if too many wait already: polls of runs must not crowd out those of jobs."""
         if self._reads.statistics().tasks_waiting >= c.MAX_WAITING_RUN_READS:
-            raise Away("too many look at runs")
+            raise NotExecuted("too many look at runs")
         async with self._reads:
             pair = await self._state.read(keys.RUN + address) if plans.ADDRESS.fullmatch(address) else None
             if pair is None:
@@ -332,9 +335,9 @@
         while True:
             try:
                 return await do(what)
-            except Refused:
+            except Rejected:
                 raise
-            except (Away, Unsure):
+            except (NotExecuted, OutcomeUnknown):
                 await trio.sleep(core.STATE_RETRY_S)
 
     async def _send(self, held: Held) -> None:
@@ -368,7 +371,7 @@
         if not reason:
             try:
                 return await self.commit(change)
-            except Refused as error:  # it never will be taken, so the run must not lie open for ever
+            except Rejected as error:  # it never will be taken, so the run must not lie open for ever
                 reason = str(error)
         await self.commit(runs.moved(held.address, held.run, held.version, Phase.REFUSING, reason))
         return None
@@ -383,7 +386,7 @@
             if held.run.phase is Phase.REFUSING and entry.record.run != held.address:
                 continue
             if (await self._core.users.cancel(spec.id)).status != 200:
-                raise Away(f"{spec.id} cannot be cancelled now")
+                raise NotExecuted(f"{spec.id} cannot be cancelled now")
         await self.commit(runs.moved(held.address, held.run, held.version, runs.WITHDRAWN[held.run.phase]))
 
     async def room(self, changes: int) -> None:
--- a/pepperlatch/protocol/cloud.py
+++ b/pepperlatch/protocol/cloud.py
@@ -9,11 +9,11 @@
 from pepperlatch.constants import core as c
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.budget import Budget
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.settings import Cloud
 
 
-class CloudTrouble(Exception):
+class CloudError(Exception):
     """The call got no usable answer; it may or may not have been carried out."""
 
 
@@ -34,12 +34,12 @@
             await trio.sleep(wait)
         try:
             status, answer = await self._network.request(self._addr, method, path, body, c.CLOUD_REQUEST_TIMEOUT_S)
-        except (NotSent, Lost) as error:
-            raise CloudTrouble(str(error)) from None
+        except (NotSent, NoUsableResponse) as error:
+            raise CloudError(str(error)) from None
         if status == 503 and isinstance(answer, dict) and answer.get("error") == "no capacity":
             raise NoCapacity
         if status != 200:
-            raise CloudTrouble(f"{path}: {status} {answer}")
+            raise CloudError(f"{path}: {status} {answer}")
         return answer
 
     async def types(self) -> list[wire.MachineType]:
@@ -47,7 +47,7 @@
         try:
             return wire.types_of(answer)
         except (msgspec.ValidationError, KeyError, TypeError) as error:
-            raise CloudTrouble(f"unexpected machine types: {error}") from None
+            raise CloudError(f"unexpected machine types: {error}") from None
 
     async def hire(self, request: str, type_name: str, zone: str, spot: bool, count: int) -> list[str]:
         return wire.hired(
@@ -64,7 +64,7 @@
             try:
                 page = wire.convert(await self._call("GET", wire.list_path(after, c.LIST_PAGE)), wire.MachinePage)
             except msgspec.ValidationError as error:
-                raise CloudTrouble(f"unexpected machine list: {error}") from None
+                raise CloudError(f"unexpected machine list: {error}") from None
             listed += page.machines
             if not page.more or not page.machines:
                 return listed
--- a/pepperlatch/protocol/http/client.py
+++ b/pepperlatch/protocol/http/client.py
@@ -15,7 +15,7 @@
     """No connection came about, so the request cannot be carried out, not even later."""
 
 
-class Lost(Exception):
+class NoUsableResponse(Exception):
     """No answer: the request may have been carried out, or may yet be."""
 
 
@@ -67,7 +67,7 @@
     async def request(
         self, addr: str, method: str, path: str, body: Any = None, deadline_s: float = 2.0
     ) -> tuple[int, Any]:
-        """Status and decoded body. Raises NotSent or Lost. Cancelled, it closes the connection it used."""
+        """Status and decoded body. Raises NotSent or NoUsableResponse. Cancelled, it closes the connection it used."""
         status, _, answer = await self.ask(addr, method, path, body, deadline_s)
         return status, answer
 
@@ -91,9 +91,9 @@
             trio.ClosedResourceError,
             h11.ProtocolError,
         ) as error:
-            raise Lost(f"{addr}{path}: {error!r}") from None
+            raise NoUsableResponse(f"{addr}{path}: {error!r}") from None
         except orjson.JSONDecodeError as error:
-            raise Lost(f"{addr}{path}: answer is not JSON: {error}") from None
+            raise NoUsableResponse(f"{addr}{path}: answer is not JSON: {error}") from None
         finally:
             if not kept:
                 self._close(link)
--- a/pepperlatch/protocol/state.py
+++ b/pepperlatch/protocol/state.py
@@ -10,23 +10,23 @@
 from pepperlatch.constants import core as c
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.budget import Budget, Elastic
-from pepperlatch.protocol.http.client import Lost, Network, NotSent
+from pepperlatch.protocol.http.client import Network, NotSent, NoUsableResponse
 from pepperlatch.settings import State
 
 
-class Away(Exception):
+class NotExecuted(Exception):
     """The request was surely not carried out: refused, or no connection."""
 
 
-class Busy(Away):
+class RateLimited(NotExecuted):
     """Beyond the service's rate at this moment."""
 
 
-class Refused(Away):
+class Rejected(NotExecuted):
     """The service will not carry it out as it stands, however often it is asked."""
 
 
-class Unsure(Exception):
+class OutcomeUnknown(Exception):
     """No answer: it may have been carried out, or may yet be."""
 
 
@@ -107,15 +107,15 @@
             status, answer = await self._network.request(self._addr, method, path, body, seconds)
         except NotSent as error:
             self._bad()
-            raise Away(str(error)) from None
-        except Lost as error:
+            raise NotExecuted(str(error)) from None
+        except NoUsableResponse as error:
             self._bad()
-            raise Unsure(str(error)) from None
+            raise OutcomeUnknown(str(error)) from None
         if status == 429:
-            raise Busy(f"{path}: {status}")
+            raise RateLimited(f"{path}: {status}")
         if status == 503:
             self._bad()
-            raise Away(f"{path}: {status}")
+            raise NotExecuted(f"{path}: {status}")
         self.good_at = self._clock()
         return status, answer
 
@@ -124,7 +124,7 @@
         try:
             await self._call("GET", f"{wire.KEYS}/ping", None, c.STATE_FRESH_S, urgent=True)
             return True
-        except (Away, Unsure):
+        except (NotExecuted, OutcomeUnknown):
             return False
 
     async def read(self, key: str) -> wire.KeyValue | None:
@@ -159,7 +159,7 @@
     ) -> Outcome:  # fmt: skip
         """Somebody waits for most of them, so they do not stand in line behind reads, which make up for it.
 
-        Unsure after `seconds` without an answer; cancelled, it may be carried out.
+        OutcomeUnknown after `seconds` without an answer; cancelled, it may be carried out.
         """
         status, answer = await self._write(wire.txn_body(conditions, writes), len(writes), urgent, seconds)
         if status == 200:
@@ -169,8 +169,8 @@
         if isinstance(answer, dict) and answer.get("error") == "no such lease":
             raise LeaseGone
         if status == 400:
-            raise Refused(f"transaction: {answer}")
-        raise Away(f"transaction: {status} {answer}")
+            raise Rejected(f"transaction: {answer}")
+        raise NotExecuted(f"transaction: {status} {answer}")
 
     async def _write(self, body: dict[str, Any], count: int, urgent: bool, seconds: float) -> tuple[int, Any]:
         """Tried again while the service is busy, as long as an answer may take; cancelled, it may be carried out."""
@@ -181,7 +181,7 @@
                 await trio.sleep(wait)
             try:
                 return await self._call("POST", wire.TXN, body, seconds, urgent=True)
-            except Busy:
+            except RateLimited:
                 self._writes.refused(self._clock())
                 if urgent or self._clock() + count / self._writes.rate > until:
                     raise
@@ -203,4 +203,4 @@
     try:
         return wire.convert(answer, kind)
     except msgspec.ValidationError as error:
-        raise Away(f"unexpected answer: {error}") from None
+        raise NotExecuted(f"unexpected answer: {error}") from None
--- a/pepperlatch/protocol/workers.py
+++ b/pepperlatch/protocol/workers.py
@@ -6,7 +6,7 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import Lost, Network
+from pepperlatch.protocol.http.client import Network, NoUsableResponse
 
 
 class WorkerClient:
@@ -24,7 +24,7 @@
         body = wire.commands_body(token, session, orders)
         status, answer = await self._network.request(addr, "POST", wire.COMMANDS, body, seconds)
         if status not in (200, 409):
-            raise Lost(f"{addr}: {status}")
+            raise NoUsableResponse(f"{addr}: {status}")
         return status == 200, _report(answer)
 
 
@@ -33,4 +33,4 @@
         report: wire.Report = wire.convert(answer, wire.Report)
         return report
     except msgspec.ValidationError as error:
-        raise Lost(f"unexpected report: {error}") from None
+        raise NoUsableResponse(f"unexpected report: {error}") from None
--- a/pepperlatch/scale/control.py
+++ b/pepperlatch/scale/control.py
@@ -6,7 +6,7 @@
 import trio
 
 from pepperlatch.constants import scale as c
-from pepperlatch.protocol.http.client import HttpNetwork, Lost, NotSent
+from pepperlatch.protocol.http.client import HttpNetwork, NotSent, NoUsableResponse
 from pepperlatch.scale.machine import JobNeeds
 from pepperlatch.scale.scenario import Scenario
 
@@ -67,7 +67,7 @@
     body = msgspec.to_builtins(message) if message is not None else {}
     try:
         status, answer = await network.request(address, "POST", path, body, c.CONTROL_TIMEOUT_S)
-    except (NotSent, Lost) as error:
+    except (NotSent, NoUsableResponse) as error:
         raise ControlFailed(f"{address}{path}: {error}") from None
     if status != 200:
         raise ControlFailed(f"{address}{path}: {status} {answer}")
--- a/pepperlatch/scale/host.py
+++ b/pepperlatch/scale/host.py
@@ -12,7 +12,7 @@
 
 from pepperlatch.constants import scale as c
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import HttpNetwork, Lost, NotSent
+from pepperlatch.protocol.http.client import HttpNetwork, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Request, Response, Server
 from pepperlatch.scale import control
 from pepperlatch.scale.addresses import Addresses, controller_name, machine_name
@@ -102,7 +102,7 @@
         address = self._host.addresses.controller(node)
         try:
             status, answer = await self._network.request(address, "POST", wire.REPORT, body, c.REPORT_ANSWER_TIMEOUT_S)
-        except (NotSent, Lost):
+        except (NotSent, NoUsableResponse):
             status, answer = 0, None
         now = time.monotonic()
         self._host.count_answer(node, status, now - sent_at, body, answer)
--- a/pepperlatch/scale/runner.py
+++ b/pepperlatch/scale/runner.py
@@ -17,7 +17,7 @@
 import trio
 
 from pepperlatch.constants import scale as c
-from pepperlatch.protocol.http.client import HttpNetwork, Lost, NotSent
+from pepperlatch.protocol.http.client import HttpNetwork, NotSent, NoUsableResponse
 from pepperlatch.scale import bounds, control, history, observer, results
 from pepperlatch.scale.addresses import Addresses, controller_name, free_ports
 from pepperlatch.scale.cloud import Fleet
@@ -157,7 +157,7 @@
                 status, _ = await self._network.request(address, "PUT", "/admin/settings", body)
                 if status == 200:
                     return
-            except (NotSent, Lost, KeyError, TypeError):
+            except (NotSent, NoUsableResponse, KeyError, TypeError):
                 pass
             await trio.sleep(c.SAMPLE_INTERVAL_S)
         raise RunFailed("idle_s could not be set through the administration API")
@@ -189,7 +189,7 @@
         for index in range(self.scenario.controllers):
             try:
                 _, view = await self._network.request(self.addresses.controller_peers(index), "GET", "/admin/view")
-            except (NotSent, Lost):
+            except (NotSent, NoUsableResponse):
                 continue
             if isinstance(view, dict) and view.get("leader"):
                 return str(view["leader"])
--- a/pepperlatch/scale/users.py
+++ b/pepperlatch/scale/users.py
@@ -11,7 +11,7 @@
 
 from pepperlatch.constants import scale as c
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.http.client import HttpNetwork, Lost, NotSent
+from pepperlatch.protocol.http.client import HttpNetwork, NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Request, Response, Server
 from pepperlatch.scale import control
 from pepperlatch.scale.addresses import Addresses
@@ -58,7 +58,7 @@
                     self._addresses[index], "GET", wire.HEALTH, None, c.HEALTH_PROBE_INTERVAL_S
                 )
                 self._healthy[index] = status == 200
-            except (NotSent, Lost):
+            except (NotSent, NoUsableResponse):
                 self._healthy[index] = False
             await trio.sleep(c.HEALTH_PROBE_INTERVAL_S)
 
@@ -123,7 +123,7 @@
             )
             state = answer.get("status") if isinstance(answer, dict) and status in (200, 201) else None
             found = UserAnswer(status, state, float(retry_after or 0))
-        except (NotSent, Lost):
+        except (NotSent, NoUsableResponse):
             found = UserAnswer(0)
         finally:
             network.close()
@@ -250,7 +250,7 @@
                 status, answer = await self._network.request(address, "PUT", "/admin/settings", body)
                 if status == 200:
                     return int(answer["version"])
-            except (NotSent, Lost, KeyError, TypeError):
+            except (NotSent, NoUsableResponse, KeyError, TypeError):
                 pass
             await trio.sleep(PAUSE_S)
 
@@ -261,7 +261,7 @@
                 status, shown = await self._network.request(address, "GET", "/admin/settings")
                 if status == 200 and shown["version"] >= version:
                     return
-            except (NotSent, Lost):
+            except (NotSent, NoUsableResponse):
                 pass
             await trio.sleep(0.1)
 
