--- a/pepperlatch/command/service.py
+++ b/pepperlatch/command/service.py
@@ -86,4 +86,4 @@
 
 
 def job_over(answer: Any) -> bool:
-    return answer.get("status") in {state.value for state in wire.FINAL}
+    return answer.get("status") in {state.value for state in wire.FINAL_JOB_STATES}
--- a/pepperlatch/command/talk.py
+++ b/pepperlatch/command/talk.py
@@ -68,7 +68,7 @@
             self._may_repeat(jobs)
         answers: list[dict[str, Any]] = []
         for job in jobs:
-            status, answer = self.ask("POST", wire.JOBS, job)
+            status, answer = self.ask("POST", wire.JOBS_PATH, job)
             if status not in (200, 201):
                 self._show([*answers, {**answer, wire.ID_FIELD: job[wire.ID_FIELD], "status": f"refused ({status})"}])
                 return REFUSED
@@ -90,7 +90,7 @@
         if not isinstance(job, dict):
             raise ValueError(f"{file}: not an object")
         if self.preferences.team:
-            job = {**wire.job_fields({"team": self.preferences.team}), **job}
+            job = {**wire.job_to_wire({"team": self.preferences.team}), **job}
         if wire.ID_FIELD in job and not again:
             return job
         job.pop(wire.ID_FIELD, None)
@@ -102,7 +102,7 @@
     def _may_repeat(self, jobs: Sequence[dict[str, Any]]) -> None:
         status, answer = self.ask("GET", "/pipelines")
         allowed = answer.get("repeats", []) if status == 200 else []
-        wrong = {str(wire.job_words(job).get("job_class")) for job in jobs} - set(allowed)
+        wrong = {str(wire.job_from_wire(job).get("job_class")) for job in jobs} - set(allowed)
         if wrong:
             raise ValueError(f"the operators let no job of class {', '.join(sorted(wrong))} repeat")
 
@@ -124,7 +124,7 @@
             def over(answer: Any) -> bool:
                 return not wait or job_over(answer)
 
-            answer = await follow(self.service, f"{wire.JOBS}/{job}", over, progress)
+            answer = await follow(self.service, f"{wire.JOBS_PATH}/{job}", over, progress)
             answers.append(answer if "status" in answer else {wire.ID_FIELD: job, "status": answer.get("error")})
         self._show(answers)
         good = [answer["status"] == DONE if wait else wire.ID_FIELD in answer for answer in answers]
@@ -134,7 +134,7 @@
     def cancel(self, jobs: Sequence[str]) -> int:
         answers, code = [], OK
         for job in jobs:
-            status, answer = self.ask("POST", f"{wire.JOBS}/{job}/{wire.CANCEL}")
+            status, answer = self.ask("POST", f"{wire.JOBS_PATH}/{job}/{wire.CANCEL_SUBPATH}")
             answers.append(answer if status == 200 else {wire.ID_FIELD: job, "status": answer.get("error")})
             code = code if status == 200 else REFUSED
         self._show(answers)
--- a/pepperlatch/console/model.py
+++ b/pepperlatch/console/model.py
@@ -126,7 +126,7 @@
             return None
         if job is not None and not job.over:
             return _of_job(job, self._text(job.reason), entry.record.at, at, held)
-        if held is None and entry.state in wire.FINAL:
+        if held is None and entry.state in wire.FINAL_JOB_STATES:
             return None
         return of_record(job_id, entry, self.leader.replica, at + self.leader.clock(), held)
 
@@ -282,7 +282,7 @@
     `told`: what a node that does not lead was told of it by the leader.
     """
     spec, reason = entry.record.spec, standing_reason(replica, job_id)
-    if entry.state in wire.FINAL:
+    if entry.state in wire.FINAL_JOB_STATES:
         if held is None:
             return None
         text = reason.text() if reason is not None else entry.state.value
--- a/pepperlatch/console/picture.py
+++ b/pepperlatch/console/picture.py
@@ -8,7 +8,7 @@
 
 from pepperlatch.console.rows import JobRow
 from pepperlatch.policy.reasons import changes_when
-from pepperlatch.protocol.wire import RANK, Priority
+from pepperlatch.protocol.wire import PRIORITY_RANK, Priority
 
 JOB_COLUMNS = (
     "job", "priority", "waiting", "for", "reason", "state", "team", "class", "running", "done", "why"
@@ -23,7 +23,7 @@
 MONEY_COLUMNS = ("what", "spent", "share")
 
 _UNITS = (("d", 86400, "h", 3600), ("h", 3600, "min", 60), ("min", 60, "s", 1))
-_RANKS = {priority.value: rank for priority, rank in RANK.items()}
+_RANKS = {priority.value: rank for priority, rank in PRIORITY_RANK.items()}
 
 
 def span(seconds: float | None) -> str:
--- a/pepperlatch/console/public.py
+++ b/pepperlatch/console/public.py
@@ -12,7 +12,7 @@
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
 
-_IDS = re.compile(wire.JOB_ID)
+_IDS = re.compile(wire.JOB_ID_PATTERN)
 _SHOWN = frozenset((f"{BASE}/overview", f"{BASE}/jobs", f"{BASE}/changes"))
 _OVERVIEW = ("node", "version", "at", "age_s", "source", "why", "states", "waits")
 
--- a/pepperlatch/console/recorder.py
+++ b/pepperlatch/console/recorder.py
@@ -73,7 +73,7 @@
         self._record(attempt.job.spec.id, What.ENDED, now, cause, attempt.machine.name)
 
     def job(self, job_id: str, what: str, now: float) -> None:
-        if what in (state.value for state in wire.FINAL):
+        if what in (state.value for state in wire.FINAL_JOB_STATES):
             self.recoveries.over(job_id)
             self._record(job_id, What.OVER, now, what)
             if self._over is not None:
--- a/pepperlatch/console/rows.py
+++ b/pepperlatch/console/rows.py
@@ -12,7 +12,7 @@
 
 from pepperlatch.constants import console as c
 from pepperlatch.policy.reasons import Why
-from pepperlatch.protocol.wire import RANK, JobState, Priority
+from pepperlatch.protocol.wire import PRIORITY_RANK, JobState, Priority
 
 _SPELLED = {"job_class": "class"}
 
@@ -49,7 +49,7 @@
 }
 OVER = frozenset((JobState.DONE.value, JobState.CANCELLED.value))
 _QUEUED = JobState.QUEUED.value
-_RANKS = {priority.value: rank for priority, rank in RANK.items()}
+_RANKS = {priority.value: rank for priority, rank in PRIORITY_RANK.items()}
 _SORTS: dict[str, Callable[[JobRow], Any]] = {
     "since": lambda row: row.since,
     "submitted": lambda row: row.at,
--- a/pepperlatch/console/saving.py
+++ b/pepperlatch/console/saving.py
@@ -77,7 +77,7 @@
         history, wall = self._recorder.history, self._core.wall()
         for job_id in history.unended():
             entry = self._leader.replica.jobs.get(job_id)
-            if entry is not None and entry.state in wire.FINAL:
+            if entry is not None and entry.state in wire.FINAL_JOB_STATES:
                 history.add(job_id, What.OVER, wall, f"{entry.state.value} before then")
 
     # --- saving -------------------------------------------------------------------------------------
@@ -108,7 +108,7 @@
             await trio.sleep(c.SAVE_BUDGET_POLL_S)
             if self._leader.term.over:
                 return False
-        lead = wire.when(store.LEADER, self._leader.term.token)
+        lead = wire.version_condition(store.LEADER, self._leader.term.token)
         try:
             outcome = await self._core.state.txn([lead], [wire.put(key, wire.to_plain(piece))])
         except Rejected as error:
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -240,7 +240,7 @@
         told, wall = core.told(), core.wall()
         found = [
             of_record(job_id, entry, replica, wall, told=told.progress(job_id))
-            for job_id, entry in replica.jobs.items() if entry.state not in wire.FINAL
+            for job_id, entry in replica.jobs.items() if entry.state not in wire.FINAL_JOB_STATES
         ]  # fmt: skip
         made = [row for row in found if row is not None]
         held = replica.leader
--- a/pepperlatch/controller/admin.py
+++ b/pepperlatch/controller/admin.py
@@ -84,7 +84,7 @@
         if version != current:
             return Response(409, {"error": "stale version", "version": current})
         outcome = await self._state.txn(
-            [wire.when(store.TUNING, current)], [wire.put(store.TUNING, {**stored, **values})]
+            [wire.version_condition(store.TUNING, current)], [wire.put(store.TUNING, {**stored, **values})]
         )
         if not outcome.applied:
             return Response(409, {"error": "stale version"})
--- a/pepperlatch/controller/daemon.py
+++ b/pepperlatch/controller/daemon.py
@@ -132,11 +132,11 @@
     # --- the users' listener ----------------------------------------------------------------------
 
     async def handle(self, request: Request) -> Response:
-        if request.path == wire.HEALTH:
+        if request.path == wire.HEALTH_PATH:
             return self._health()
-        if request.path == wire.REPORT and request.method == "POST":
+        if request.path == wire.REPORT_PATH and request.method == "POST":
             return await self.heartbeats.heartbeat(request.body)
-        if request.path.startswith(wire.JOBS):
+        if request.path.startswith(wire.JOBS_PATH):
             return await self.users.handle(request)
         return await self.parts.handle(request) or await self.users.handle(request)
 
@@ -309,7 +309,7 @@
             (node.handle_peer, settings.peer_listen, by_peers),
         ):
             host, port = split_address(address)
-            server = Server(handler, most, lambda request: request.path == wire.REPORT)
+            server = Server(handler, most, lambda request: request.path == wire.REPORT_PATH)
             await nursery.start(server.serve, host, port)
         nursery.start_soon(node.run)
         while True:
--- a/pepperlatch/controller/heartbeats/handler.py
+++ b/pepperlatch/controller/heartbeats/handler.py
@@ -76,7 +76,7 @@
         now = self._clock()
         home = self.routes.home(report.machine, report.zone, now)
         if home is not None and self.routes.send(report.machine, now):
-            return Response(421, wire.misdirected(home))
+            return Response(421, wire.redirect_body(home))
         return await self._take(report, plain, now + c.MAX_HEARTBEAT_WAIT_S)
 
     async def _take(self, report: Report, plain: Any, until: float) -> Response:
@@ -141,7 +141,7 @@
             status, answer = await self.forwarder.forward(self._addr[leader], plain, seconds)
             if status == 200 and isinstance(answer, dict):
                 number = answer.pop(GRANT, None)
-                self.delegated.granted(report, number, wire.answered_token(answer), self._clock())
+                self.delegated.granted(report, number, wire.answer_token(answer), self._clock())
                 return Response(200, answer)
         except NotSent:
             refused = True
@@ -152,7 +152,7 @@
         if self._may_stand_in(report):
             return self._stand_in(report)
         if refused and self._state_here() and self.routes.send(report.machine, self._clock()):
-            return Response(421, wire.misdirected(leader))
+            return Response(421, wire.redirect_body(leader))
         return None
 
     def _answers_itself(self, report: Report, token: int) -> bool:
@@ -176,7 +176,7 @@
 
     def _knows_over(self, job_id: str) -> bool:
         entry = self._replica.jobs.get(job_id)
-        return entry is not None and entry.state in wire.FINAL
+        return entry is not None and entry.state in wire.FINAL_JOB_STATES
 
     # --- standing in ------------------------------------------------------------------------------
 
--- a/pepperlatch/controller/leader.py
+++ b/pepperlatch/controller/leader.py
@@ -125,7 +125,7 @@
         cluster = self.cluster
         cluster.types = {kind.name: kind for kind in self.replica.types}
         for job_id, entry in self.replica.jobs.items():
-            if entry.state not in wire.FINAL:
+            if entry.state not in wire.FINAL_JOB_STATES:
                 self._add_job(job_id)
             elif entry.record.state == entry.state.value:
                 self._records.tidy(job_id)
@@ -165,7 +165,7 @@
 
     def _spec_if_over(self, job_id: str) -> wire.JobSpec | None:
         entry = self.replica.jobs.get(job_id)
-        return entry.record.spec if entry is not None and entry.state in wire.FINAL else None
+        return entry.record.spec if entry is not None and entry.state in wire.FINAL_JOB_STATES else None
 
     def _cancelled_since(self, job_id: str) -> float:
         """No user was told before then that the job is cancelled; infinite if it is not.
@@ -224,7 +224,7 @@
         for job_id in touched:
             entry = self.replica.jobs[job_id]
             known = self.cluster.jobs.get(job_id)
-            if entry.state in wire.FINAL:
+            if entry.state in wire.FINAL_JOB_STATES:
                 self.cluster.end_job(job_id, self.clock(), entry.state is wire.JobState.DONE)
                 self.cluster.listener.job(job_id, entry.state.value, self.clock())
                 if entry.record.state == entry.state.value:
--- a/pepperlatch/controller/leadership.py
+++ b/pepperlatch/controller/leadership.py
@@ -118,7 +118,7 @@
         lease = await self._state.grant_lease(c.LEADER_LEASE_MS)
         write: dict[str, Any] = wire.put(store.LEADER, {"node": self._node}, lease)
         try:
-            outcome = await self._state.txn([wire.when(store.LEADER, 0)], [write], urgent=True)
+            outcome = await self._state.txn([wire.version_condition(store.LEADER, 0)], [write], urgent=True)
         except (NotExecuted, OutcomeUnknown):  # if it comes to be applied nobody would lead until the lease ends
             await self._give_back(lease)
             raise
@@ -134,7 +134,7 @@
         ends no later term.
         """
         log.info("ending the term %d of an earlier life", token)
-        await self._state.txn([wire.when(store.LEADER, token)], [wire.delete(store.LEADER)], urgent=True)
+        await self._state.txn([wire.version_condition(store.LEADER, token)], [wire.delete(store.LEADER)], urgent=True)
         await trio.sleep(c.STATE_RETRY_S)  # for the watch to show it
 
     async def _give_back(self, lease: int) -> None:
--- a/pepperlatch/controller/records.py
+++ b/pepperlatch/controller/records.py
@@ -64,7 +64,7 @@
             log.info("job %s done%s", job_id, changed, extra={"job": job_id})
             job.finishing = False
 
-        self._duty.writer.add(Write(changes, done, [wire.when(store.JOB + job_id, job.version)]))
+        self._duty.writer.add(Write(changes, done, [wire.version_condition(store.JOB + job_id, job.version)]))
         self._duty.cluster.unsaved.discard(job_id)
 
     def tidy(self, job_id: str) -> None:
@@ -86,7 +86,7 @@
         replica = self._duty.replica
         savings = store.savings(replica, job.spec.id, job.done, job.saved, limits.value_kb)
         savings = savings[: self._duty.writer.later_most()]
-        when = [wire.when(saving.key, saving.version) for saving in savings]
+        when = [wire.version_condition(saving.key, saving.version) for saving in savings]
         changes = [wire.put(saving.key, saving.value) for saving in savings]
         tasks = set().union(*(saving.tasks for saving in savings))
 
--- a/pepperlatch/controller/rentals.py
+++ b/pepperlatch/controller/rentals.py
@@ -147,7 +147,7 @@
                 log.info("machine list: %s", error)
             await trio.sleep(c.CLOUD_LIST_INTERVAL_S)
 
-    def _on_list(self, listed: list[wire.Listed]) -> None:
+    def _on_list(self, listed: list[wire.ListedMachine]) -> None:
         now = self._duty.clock()
         names = {item.name for item in listed}
         for item in listed:
@@ -164,7 +164,7 @@
                 machine.listed = True
                 if machine.status is Status.BOOTING:  # a repeated hire, or a report, tells nothing of its age
                     machine.born = min(machine.born, now - item.age_s)
-                if item.state == wire.FAILED:
+                if item.state == wire.LISTED_FAILED:
                     self._duty.cluster.release(machine, "failed")
         lag = self._duty.settings.params.cloud.list_lag_s * c.LIST_LAG_FACTOR + c.CLOUD_LIST_INTERVAL_S
         for machine in list(self._duty.cluster.machines.values()):
--- a/pepperlatch/controller/store.py
+++ b/pepperlatch/controller/store.py
@@ -40,7 +40,7 @@
 HIRE = "f/hire/"
 MACHINE = "f/machine/"
 
-_JOB_ID = re.compile(wire.JOB_ID)
+_JOB_ID = re.compile(wire.JOB_ID_PATTERN)
 
 
 def is_job_id(text: object) -> bool:
@@ -280,7 +280,9 @@
         return not self.chain.waits_for(job_id)
 
     def waiting_for_others(self) -> int:
-        return sum(1 for job in self.chain.needs if self.jobs[job].state not in wire.FINAL and not self.ready(job))
+        return sum(
+            1 for job in self.chain.needs if self.jobs[job].state not in wire.FINAL_JOB_STATES and not self.ready(job)
+        )
 
     def done_tasks(self, job_id: str) -> set[int]:
         tasks: set[int] = set()
@@ -304,7 +306,7 @@
 
 
 def _own(spec: wire.JobSpec, at: float) -> Standing:
-    return Standing(wire.RANK[spec.priority], at + spec.deadline_s if spec.deadline_s else math.inf)
+    return Standing(wire.PRIORITY_RANK[spec.priority], at + spec.deadline_s if spec.deadline_s else math.inf)
 
 
 def slim(pair: wire.KeyValue) -> wire.KeyValue:
--- a/pepperlatch/controller/users.py
+++ b/pepperlatch/controller/users.py
@@ -117,7 +117,7 @@
 def standing_reason(replica: Replica, job_id: str) -> Reason | None:
     """What the records alone say of a job: it waits for others, or was cancelled with one that it needs."""
     entry = replica.jobs[job_id]
-    if entry.state in wire.FINAL:
+    if entry.state in wire.FINAL_JOB_STATES:
         through = entry.through
         return None if through is None or through == job_id else Reason(Why.GONE, names=(through,))
     waits_for = replica.chain.waits_for(job_id)
@@ -147,12 +147,12 @@
     async def handle(self, request: Request) -> Response:
         path = request.path.partition("?")[0]
         try:
-            if path == wire.JOBS and request.method == "POST":
+            if path == wire.JOBS_PATH and request.method == "POST":
                 return await self.submit(request.body)
-            prefix, _, rest = path.partition(wire.JOBS + "/")
+            prefix, _, rest = path.partition(wire.JOBS_PATH + "/")
             if prefix == "" and rest:
                 job_id, _, verb = rest.partition("/")
-                if verb == wire.CANCEL and request.method == "POST":
+                if verb == wire.CANCEL_SUBPATH and request.method == "POST":
                     return await self.cancel(job_id)
                 if verb == "" and request.method == "GET":
                     return await self.poll(job_id)
@@ -196,7 +196,11 @@
             entry = self._replica.jobs.get(name)
             if entry is None:
                 return f"{name[: c.MAX_NAME_CHARS_SHOWN]}, which it needs, was never accepted"
-            if entry.state not in wire.FINAL and entry.record.spec and entry.record.spec.kind is Kind.SERVICE:
+            if (
+                entry.state not in wire.FINAL_JOB_STATES
+                and entry.record.spec
+                and entry.record.spec.kind is Kind.SERVICE
+            ):
                 return f"{name}, which it needs, is a service and never done"
         return None
 
@@ -222,7 +226,7 @@
             return None
         assert isinstance(job_id, str)
         entry = self._replica.jobs.get(job_id)
-        if entry is None or entry.state not in wire.FINAL:
+        if entry is None or entry.state not in wire.FINAL_JOB_STATES:
             await self._watched.sync()
             entry = self._replica.jobs.get(job_id)
         return Response(200, self.describe(job_id, entry)) if entry is not None else None
@@ -283,7 +287,7 @@
             keys = [store.JOB + s.spec.id for s in batch]
             writes = [change for s in batch for change in s.changes(self._wall())]
             try:
-                outcome = await self._create_now([wire.when(key, 0) for key in keys], writes)
+                outcome = await self._create_now([wire.version_condition(key, 0) for key in keys], writes)
             except Rejected as error:
                 if len(batch) == 1:
                     log.error("%s is refused: %s", keys[0], error)
@@ -315,7 +319,7 @@
     def describe(self, job_id: str, entry: Entry) -> dict[str, Any]:
         """The answer to a poll, from this node's copy as it stands."""
         tasks = entry.record.tasks
-        if entry.state in wire.FINAL:
+        if entry.state in wire.FINAL_JOB_STATES:
             answer = wire.job_answer(job_id, entry.state, tasks if entry.state is JobState.DONE else 0, 0)
             if (reason := standing_reason(self._replica, job_id)) is not None:
                 answer["reason"] = reason.text()
@@ -348,11 +352,13 @@
                 entry = self._replica.jobs.get(job_id)
                 if entry is None:
                     return Response(404, {"error": "no such job"})
-                if entry.state in wire.FINAL:
+                if entry.state in wire.FINAL_JOB_STATES:
                     return Response(200, wire.job_answer(job_id, entry.state))
                 record = store.cancelled(entry.record, self._settings.params.state.value_kb, self._wall())
                 key = store.JOB + job_id
-                outcome = await self._state.txn([wire.when(key, entry.version)], [wire.put(key, wire.to_plain(record))])
+                outcome = await self._state.txn(
+                    [wire.version_condition(key, entry.version)], [wire.put(key, wire.to_plain(record))]
+                )
                 if outcome.applied:  # known here before its user is told: others vouch by what this node knows
                     self._watched.learn([(job_id, record, outcome.revision)])
                     await self._tell(job_id, record, outcome.revision)
--- a/pepperlatch/controller/writer.py
+++ b/pepperlatch/controller/writer.py
@@ -111,7 +111,7 @@
         return batch
 
     def _mine(self) -> list[dict[str, Any]]:
-        return [wire.when(store.LEADER, self._term.token), wire.when(store.TURN, self.turn)]
+        return [wire.version_condition(store.LEADER, self._term.token), wire.version_condition(store.TURN, self.turn)]
 
     async def _moved_on(self) -> bool:
         """Whether no earlier transaction can be carried out any more."""
--- a/pepperlatch/pipelines/compile.py
+++ b/pepperlatch/pipelines/compile.py
@@ -153,7 +153,7 @@
         if deadline is not None:
             job["deadline_s"] = deadline
         name = _called(step, values)
-        return plans.Step(name, wire.job_fields(job), needs, list(step.after_jobs), step.repeat)
+        return plans.Step(name, wire.job_to_wire(job), needs, list(step.after_jobs), step.repeat)
 
     def _job(self, i: int, step: model.Step, values: dict[str, Any]) -> dict[str, Any]:
         """By this project's names; the step's own word, then the defaults', then the file's."""
--- a/pepperlatch/pipelines/plan.py
+++ b/pepperlatch/pipelines/plan.py
@@ -21,7 +21,7 @@
 NAME = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9_.-]*[A-Za-z0-9])?")
 KEY = re.compile(r"[A-Za-z0-9_.:+-]*")
 ADDRESS = re.compile(r"[A-Za-z0-9_.-]{1,60}(?:@[A-Za-z0-9_.:+-]{1,60})?(?:~[1-9][0-9]{0,6})?")  # of a run
-_JOB_ID = re.compile(wire.JOB_ID)
+_JOB_ID = re.compile(wire.JOB_ID_PATTERN)
 Path = tuple[str | int, ...]
 
 
@@ -211,7 +211,7 @@
 
 
 def _asked(step: Step) -> dict[str, Any]:
-    words = wire.job_words({name: value for name, value in step.job.items() if value is not None})
+    words = wire.job_from_wire({name: value for name, value in step.job.items() if value is not None})
     return {**words, "needs": sorted(step.needs), "jobs": sorted(step.jobs), "repeat": step.repeat}
 
 
--- a/pepperlatch/pipelines/runs.py
+++ b/pepperlatch/pipelines/runs.py
@@ -63,14 +63,14 @@
     run = RunRecord(Phase.OPEN, digest, at, "" if pieces else packed, len(pieces))
     writes = [put_run(address, run), wire.put(OPEN + address, {})]
     writes += [wire.put(f"{PIECE}{address}/{n}", {"text": text}) for n, text in enumerate(pieces)]
-    return Change([wire.when(RUN + address, 0)], writes, [])
+    return Change([wire.version_condition(RUN + address, 0)], writes, [])
 
 
 def create(
     address: str, version: int, missing: Collection[wire.JobSpec], at: float, limits: State, most: int
 ) -> Change:
     """The next jobs of a run, at least one, at most so many changes; the rest stays for the next time."""
-    when = [wire.when(RUN + address, version)]
+    when = [wire.version_condition(RUN + address, version)]
     writes: list[dict[str, Any]] = []
     ids: list[str] = []
     size = 0
@@ -80,7 +80,7 @@
         size += sum(len(orjson.dumps(change)) for change in changes)
         if ids and (len(writes) + len(changes) > min(most, limits.txn_ops) or size > core.MAX_TXN_BYTES):
             break
-        when.append(wire.when(store.JOB + spec.id, 0))
+        when.append(wire.version_condition(store.JOB + spec.id, 0))
         writes += changes
         ids.append(spec.id)
     return Change(when, writes, ids)
@@ -90,7 +90,7 @@
     """To another phase; what has something left to do is kept where the leader looks."""
     after = msgspec.structs.replace(run, phase=phase, reason=reason[: c.MAX_REASON_CHARS] or run.reason)
     mark = wire.put(OPEN + address, {}) if phase in PENDING else wire.delete(OPEN + address)
-    return Change([wire.when(RUN + address, version)], [put_run(address, after), mark], [])
+    return Change([wire.version_condition(RUN + address, version)], [put_run(address, after), mark], [])
 
 
 def put_run(address: str, run: RunRecord) -> dict[str, Any]:
--- a/pepperlatch/pipelines/schedules.py
+++ b/pepperlatch/pipelines/schedules.py
@@ -98,13 +98,13 @@
     writes = [wire.put(CRON + name, wire.to_plain(record))]
     writes += [wire.put(f"{SCHEDULED}{name}/{n}", {"text": text}) for n, text in enumerate(pieces)]
     writes += [wire.delete(f"{SCHEDULED}{name}/{n}") for n in range(len(pieces), held)]
-    return Change([wire.when(CRON + name, version)], writes, [])
+    return Change([wire.version_condition(CRON + name, version)], writes, [])
 
 
 def moved(name: str, version: int, record: ScheduleRecord) -> Change:
-    return Change([wire.when(CRON + name, version)], [wire.put(CRON + name, wire.to_plain(record))], [])
+    return Change([wire.version_condition(CRON + name, version)], [wire.put(CRON + name, wire.to_plain(record))], [])
 
 
 def removed(name: str, version: int, record: ScheduleRecord) -> Change:
     writes = [wire.delete(CRON + name)] + [wire.delete(f"{SCHEDULED}{name}/{n}") for n in range(record.pieces)]
-    return Change([wire.when(CRON + name, version)], writes, [])
+    return Change([wire.version_condition(CRON + name, version)], writes, [])
--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -270,7 +270,7 @@
             state = entry.state if entry is not None else wire.JobState.CANCELLED
             if step.attempt < plan.attempt:
                 wrong = "is withdrawn; run it again too" if state is wire.JobState.CANCELLED else ""
-            elif state not in wire.FINAL:
+            elif state not in wire.FINAL_JOB_STATES:
                 wrong = "is not over yet; cancel it first"
             elif state is wire.JobState.DONE and spec.job_class not in self._repeats:
                 wrong = f"is done, and the operators let no job of class {spec.job_class!r} repeat"
@@ -381,7 +381,7 @@
         await self._core.watched.sync()
         for spec in held.specs.values():
             entry = self._core.watched.replica.jobs.get(spec.id)
-            if entry is None or entry.state in wire.FINAL:
+            if entry is None or entry.state in wire.FINAL_JOB_STATES:
                 continue
             if held.run.phase is Phase.REFUSING and entry.record.run != held.address:
                 continue
--- a/pepperlatch/policy/cluster.py
+++ b/pepperlatch/policy/cluster.py
@@ -495,14 +495,15 @@
         job = self.jobs.get(parts[0]) if parts else None
         if attempt is not None:
             log.info(
-                "%s try %d on %s ended: %s", task.task, task.attempt, machine.name, task.why.value if task.why else "",
+                "%s try %d on %s ended: %s", task.task, task.attempt, machine.name,
+                task.end_cause.value if task.end_cause else "",
                 extra=_fields(attempt),
             )  # fmt: skip
-            cause = task.why.value if task.why else "ended"
-            self._remove(attempt, now, (task.why is Cause.STOPPED and attempt.stopped_for) or cause)
-        if attempt is not None and attempt.sent_seq < 0 and task.why is not Cause.DONE:
+            cause = task.end_cause.value if task.end_cause else "ended"
+            self._remove(attempt, now, (task.end_cause is Cause.STOPPED and attempt.stopped_for) or cause)
+        if attempt is not None and attempt.sent_seq < 0 and task.end_cause is not Cause.DONE:
             machine.unreaped[(task.task, task.attempt)] = now + c.DUPLICATE_LAUNCH_WINDOW_S
-        if parts and job is not None and task.why is Cause.DONE:
+        if parts and job is not None and task.end_cause is Cause.DONE:
             self._finished(job, parts[1], attempt, now)
         if attempt is not None:
             self._judge(machine, attempt, task, now)
@@ -528,7 +529,7 @@
     def _judge(self, machine: Machine, attempt: Attempt, task: TaskReport, now: float) -> None:
         """Errors count against the machine, and against the job once several machines saw them."""
         job = attempt.job
-        if task.why is Cause.ERROR:
+        if task.end_cause is Cause.ERROR:
             if now - machine.failed_at > c.MACHINE_ERROR_WINDOW_S:
                 machine.failed_tasks.clear()
             machine.failed_at = now
@@ -543,9 +544,9 @@
                 self.listener.machine(machine, "quarantined", "two tasks failed in a row", now)
                 failed = sorted(machine.failed_tasks)
                 log.info("quarantine %s: failed %s", machine.name, failed, extra={"machine": machine.name})
-        elif task.why is Cause.DONE:
+        elif task.end_cause is Cause.DONE:
             job.failed_on.discard(machine.name)
-        elif task.why in wire.TASK_BLOCKERS:
+        elif task.end_cause in wire.LAUNCH_REFUSALS:
             job.not_before = now + c.JOB_BACKOFF_S
 
     def relayed(self, now: float) -> list[str]:
@@ -710,7 +711,7 @@
             return False
         parts = split_task(task.task)
         job = self.jobs.get(parts[0]) if parts else None
-        return job is None or task.why is not Cause.DONE or (parts is not None and parts[1] in job.saved)
+        return job is None or task.end_cause is not Cause.DONE or (parts is not None and parts[1] in job.saved)
 
     def _order(self, attempt: Attempt, seq: int, now: float) -> list[dict[str, Any]]:
         beat = seq >= 0
--- a/pepperlatch/policy/model.py
+++ b/pepperlatch/policy/model.py
@@ -8,7 +8,7 @@
 from pepperlatch.constants.core import EMPTYING_SHARE, MIN_REASON_SHOWN_S
 from pepperlatch.constants.core import EPS as EPS
 from pepperlatch.policy.reasons import PLACING, STANDING, Reason
-from pepperlatch.protocol.wire import RANK, JobSpec, Kind, MachineType, TaskReport, TaskState
+from pepperlatch.protocol.wire import PRIORITY_RANK, JobSpec, Kind, MachineType, TaskReport, TaskState
 
 
 class Phase(Enum):
@@ -78,7 +78,7 @@
 
     def __post_init__(self) -> None:
         if self.rank < 0:
-            self.rank = RANK[self.spec.priority]
+            self.rank = PRIORITY_RANK[self.spec.priority]
         self.idle_since = max(self.idle_since, self.since)
         if self.due_at is None and self.spec.deadline_s:
             self.due_at = self.since + self.spec.deadline_s
--- a/pepperlatch/policy/planner.py
+++ b/pepperlatch/policy/planner.py
@@ -22,11 +22,11 @@
 from pepperlatch.policy.supply import Spare
 from pepperlatch.policy.tuning import Tuning
 from pepperlatch.policy.zones import Seen, Zones
-from pepperlatch.protocol.wire import RANK, JobSpec, Kind, Priority
+from pepperlatch.protocol.wire import PRIORITY_RANK, JobSpec, Kind, Priority
 
 log = logging.getLogger(__name__)
 STOPPED_FOR = "stopped for "  # and a job: why a task had to leave
-URGENT = RANK[Priority.HIGH]  # and stronger: may preempt also beyond a guarantee
+URGENT = PRIORITY_RANK[Priority.HIGH]  # and stronger: may preempt also beyond a guarantee
 
 
 @dataclass(slots=True)
--- a/pepperlatch/protocol/cloud.py
+++ b/pepperlatch/protocol/cloud.py
@@ -43,26 +43,26 @@
         return answer
 
     async def types(self) -> list[wire.MachineType]:
-        answer = await self._call("GET", wire.TYPES)
+        answer = await self._call("GET", wire.TYPES_PATH)
         try:
             return wire.types_of(answer)
         except (msgspec.ValidationError, KeyError, TypeError) as error:
             raise CloudError(f"unexpected machine types: {error}") from None
 
     async def hire(self, request: str, type_name: str, zone: str, spot: bool, count: int) -> list[str]:
-        return wire.hired(
-            await self._call("POST", wire.MACHINES, wire.hire_body(request, type_name, zone, spot, count))
+        return wire.hired_names(
+            await self._call("POST", wire.MACHINES_PATH, wire.hire_body(request, type_name, zone, spot, count))
         )
 
     async def release(self, names: list[str]) -> None:
-        await self._call("POST", wire.RELEASE, wire.release_body(names))
+        await self._call("POST", wire.RELEASE_PATH, wire.release_body(names))
 
-    async def machines(self) -> list[wire.Listed]:
-        listed: list[wire.Listed] = []
+    async def machines(self) -> list[wire.ListedMachine]:
+        listed: list[wire.ListedMachine] = []
         after = ""
         while True:
             try:
-                page = wire.convert(await self._call("GET", wire.list_path(after, c.LIST_PAGE)), wire.MachinePage)
+                page = wire.convert(await self._call("GET", wire.machines_path(after, c.LIST_PAGE)), wire.MachinePage)
             except msgspec.ValidationError as error:
                 raise CloudError(f"unexpected machine list: {error}") from None
             listed += page.machines
--- a/pepperlatch/protocol/state.py
+++ b/pepperlatch/protocol/state.py
@@ -122,14 +122,14 @@
     async def responds(self) -> bool:
         """Whether the service answers this node right now."""
         try:
-            await self._call("GET", f"{wire.KEYS}/ping", None, c.STATE_FRESH_S, urgent=True)
+            await self._call("GET", f"{wire.KEYS_PATH}/ping", None, c.STATE_FRESH_S, urgent=True)
             return True
         except (NotExecuted, OutcomeUnknown):
             return False
 
     async def read(self, key: str) -> wire.KeyValue | None:
         """One key as it stands; None if there is none."""
-        status, answer = await self._call("GET", f"{wire.KEYS}/{key}")
+        status, answer = await self._call("GET", f"{wire.KEYS_PATH}/{key}")
         return None if status == 404 else _checked(answer, wire.KeyValue)
 
     async def read_all(
@@ -180,23 +180,25 @@
             if wait > 0:
                 await trio.sleep(wait)
             try:
-                return await self._call("POST", wire.TXN, body, seconds, urgent=True)
+                return await self._call("POST", wire.TXN_PATH, body, seconds, urgent=True)
             except RateLimited:
                 self._writes.on_refused(self._clock())
                 if urgent or self._clock() + count / self._writes.rate > until:
                     raise
 
     async def grant_lease(self, ttl_ms: int) -> int:
-        _, answer = await self._call("POST", wire.LEASES, wire.lease_body(ttl_ms), urgent=True)
+        _, answer = await self._call("POST", wire.LEASES_PATH, wire.lease_body(ttl_ms), urgent=True)
         return wire.lease_of(answer)
 
     async def renew_lease(self, lease: int, seconds: float) -> None:
-        status, _ = await self._call("POST", f"{wire.LEASES}/{lease}/{wire.TOUCH}", {}, seconds, urgent=True)
+        status, _ = await self._call(
+            "POST", f"{wire.LEASES_PATH}/{lease}/{wire.TOUCH_SUBPATH}", {}, seconds, urgent=True
+        )
         if status == 404:
             raise LeaseGone
 
     async def revoke_lease(self, lease: int) -> None:
-        await self._call("DELETE", f"{wire.LEASES}/{lease}", urgent=True)
+        await self._call("DELETE", f"{wire.LEASES_PATH}/{lease}", urgent=True)
 
 
 def _checked(answer: Any, kind: Any) -> Any:
--- a/pepperlatch/protocol/wire.py
+++ b/pepperlatch/protocol/wire.py
@@ -19,7 +19,7 @@
     LOW = "low"
 
 
-RANK = {Priority.PRODUCTION: 0, Priority.HIGH: 1, Priority.NORMAL: 2, Priority.LOW: 3}
+PRIORITY_RANK = {Priority.PRODUCTION: 0, Priority.HIGH: 1, Priority.NORMAL: 2, Priority.LOW: 3}
 
 
 class TaskState(str, Enum):
@@ -33,11 +33,11 @@
 class Cause(str, Enum):
     DONE = "done"
     STOPPED = "halted"
-    PEERS = "mates_gone"
+    PEERS_LOST = "mates_gone"
     ALONE = "alone"
     ERROR = "error"
     NO_ROOM = "full"
-    BUSY = "in_use"
+    ALREADY_RUNNING = "in_use"
     UNKNOWN = "no_such"
 
 
@@ -48,8 +48,8 @@
     CANCELLED = "withdrawn"
 
 
-FINAL = (JobState.DONE, JobState.CANCELLED)
-TASK_BLOCKERS = (Cause.NO_ROOM, Cause.BUSY, Cause.UNKNOWN)
+FINAL_JOB_STATES = (JobState.DONE, JobState.CANCELLED)
+LAUNCH_REFUSALS = (Cause.NO_ROOM, Cause.ALREADY_RUNNING, Cause.UNKNOWN)
 
 _JOB = {
     "id": "name_id", "job_class": "jobclass", "team": "crew", "kind": "shape", "priority": "urgency",
@@ -85,12 +85,13 @@
 
 
 class TaskReport(
-    msgspec.Struct, rename={"task": "piece", "attempt": "try", "state": "status", "why": "cause", "saved": "stored"}
+    msgspec.Struct,
+    rename={"task": "piece", "attempt": "try", "state": "status", "end_cause": "cause", "saved": "stored"},
 ):
     task: str
     attempt: int
     state: TaskState
-    why: Cause | None = None
+    end_cause: Cause | None = None
     saved: bool | None = None
 
 
@@ -143,7 +144,7 @@
 }
 
 
-class Listed(msgspec.Struct, rename=_LISTED):
+class ListedMachine(msgspec.Struct, rename=_LISTED):
     name: str
     type: str
     zone: str
@@ -153,7 +154,7 @@
     addr: str | None = None
 
 
-BOOTING, FAILED = "starting", "failed"
+LISTED_BOOTING, LISTED_FAILED = "starting", "failed"
 
 
 class KeyValue(msgspec.Struct, rename={"key": "k", "version": "stamp"}):
@@ -181,7 +182,7 @@
 
 
 class MachinePage(msgspec.Struct, rename={"machines": "perches", "more": "truncated"}):
-    machines: list[Listed]
+    machines: list[ListedMachine]
     more: bool = False
 
 
@@ -191,11 +192,11 @@
 SETTINGS_LIMITS = {"cpu_share": "cpu", "memory_mb": "mem_mb", "max_connections": "sockets"}
 
 # --- paths ----------------------------------------------------------------------------------------
-JOBS, CANCEL, HEALTH, REPORT = "/work", "cancel", "/healthz", "/agent/beat"
-COMMANDS, INSPECT = "/commands", "/inspect"
-TYPES, MACHINES, RELEASE = "/flavors", "/hosts", "/hosts/release"
-KEYS, TXN, LEASES, TOUCH, WATCH = "/keys", "/txn", "/leases", "touch", "/changes"
-JOB_ID = r"run-[A-Za-z0-9_.-]{1,64}"
+JOBS_PATH, CANCEL_SUBPATH, HEALTH_PATH, REPORT_PATH = "/work", "cancel", "/healthz", "/agent/beat"
+COMMANDS_PATH, INSPECT_PATH = "/commands", "/inspect"
+TYPES_PATH, MACHINES_PATH, RELEASE_PATH = "/flavors", "/hosts", "/hosts/release"
+KEYS_PATH, TXN_PATH, LEASES_PATH, TOUCH_SUBPATH, CHANGES_PATH = "/keys", "/txn", "/leases", "touch", "/changes"
+JOB_ID_PATTERN = r"run-[A-Za-z0-9_.-]{1,64}"
 
 
 def convert(value: Any, kind: Any) -> Any:
@@ -211,12 +212,12 @@
     return value.get(ID_FIELD)
 
 
-def job_fields(values: dict[str, Any]) -> dict[str, Any]:
+def job_to_wire(values: dict[str, Any]) -> dict[str, Any]:
     """A description by this project's names, as POST /work takes it."""
     return {_JOB.get(name, name): value for name, value in values.items()}
 
 
-def job_words(fields: dict[str, Any]) -> dict[str, Any]:
+def job_from_wire(fields: dict[str, Any]) -> dict[str, Any]:
     """The other way round, for people."""
     words = {spelled: name for name, spelled in _JOB.items()}
     return {words.get(name, name): value for name, value in fields.items()}
@@ -246,7 +247,7 @@
     return {"baton": token, "orders": orders}
 
 
-def answered_token(answer: dict[str, Any]) -> int:
+def answer_token(answer: dict[str, Any]) -> int:
     """The token of the answer to a report; 0 if it has none."""
     token = answer.get("baton")
     return token if isinstance(token, int) else 0
@@ -256,7 +257,7 @@
     return {"baton": token, "tenure": session, "orders": orders}
 
 
-def misdirected(leader: str | None) -> dict[str, Any]:
+def redirect_body(leader: str | None) -> dict[str, Any]:
     return {"foreman": leader} if leader else {}
 
 
@@ -264,7 +265,7 @@
     return {"hire": request, "build": type_name, "yard": zone, "loaners": spot, "count": count}
 
 
-def hired(answer: dict[str, Any]) -> list[str]:
+def hired_names(answer: dict[str, Any]) -> list[str]:
     return list(answer["perches"])
 
 
@@ -272,8 +273,8 @@
     return {"perches": names}
 
 
-def list_path(after: str, limit: int) -> str:
-    return f"{MACHINES}?page={limit}" + (f"&after={after}" if after else "")
+def machines_path(after: str, limit: int) -> str:
+    return f"{MACHINES_PATH}?page={limit}" + (f"&after={after}" if after else "")
 
 
 def types_of(answer: dict[str, Any]) -> list[MachineType]:
@@ -284,7 +285,7 @@
     return msgspec.to_builtins(value)
 
 
-def when(key: str, version: int) -> dict[str, Any]:
+def version_condition(key: str, version: int) -> dict[str, Any]:
     return {"k": key, "stamp": version}
 
 
@@ -312,11 +313,11 @@
 
 
 def keys_path(prefix: str, after: str, limit: int) -> str:
-    return f"{KEYS}?under={prefix}&page={limit}" + (f"&after={after}" if after else "")
+    return f"{KEYS_PATH}?under={prefix}&page={limit}" + (f"&after={after}" if after else "")
 
 
 def watch_path(prefix: str, after: int, wait_ms: int) -> str:
-    return f"{WATCH}?under={prefix}&after={after}&wait_ms={wait_ms}"
+    return f"{CHANGES_PATH}?under={prefix}&after={after}&wait_ms={wait_ms}"
 
 
 def revision_of(answer: dict[str, Any]) -> int:
--- a/pepperlatch/protocol/workers.py
+++ b/pepperlatch/protocol/workers.py
@@ -14,7 +14,7 @@
         self._network = network
 
     async def inspect(self, addr: str, seconds: float = c.PROBE_TIMEOUT_S) -> wire.Report:
-        _, answer = await self._network.request(addr, "GET", wire.INSPECT, None, seconds)
+        _, answer = await self._network.request(addr, "GET", wire.INSPECT_PATH, None, seconds)
         return _report(answer)
 
     async def command(
@@ -22,7 +22,7 @@
     ) -> tuple[bool, wire.Report]:
         """Whether the orders were executed, and the worker's report after them."""
         body = wire.commands_body(token, session, orders)
-        status, answer = await self._network.request(addr, "POST", wire.COMMANDS, body, seconds)
+        status, answer = await self._network.request(addr, "POST", wire.COMMANDS_PATH, body, seconds)
         if status not in (200, 409):
             raise NoUsableResponse(f"{addr}: {status}")
         return status == 200, _report(answer)
--- a/pepperlatch/scale/cloud.py
+++ b/pepperlatch/scale/cloud.py
@@ -82,9 +82,9 @@
             return Response(429, {"error": "too many requests"})
         url = urlsplit(request.path)
         try:
-            if url.path == wire.TYPES:
+            if url.path == wire.TYPES_PATH:
                 return Response(200, {"builds": [self._type()]})
-            if url.path == wire.RELEASE:
+            if url.path == wire.RELEASE_PATH:
                 return await self._release(orjson.loads(request.body)["perches"])
             if request.method == "POST":
                 return self._hire(orjson.loads(request.body))
@@ -150,13 +150,13 @@
     def _row(self, rented: _Rented, as_of: float) -> dict[str, Any]:
         failed = rented.up_at == math.inf
         status = (
-            wire.FAILED
+            wire.LISTED_FAILED
             if failed
             else "running"
             if rented.up_at <= as_of or rented.up_at <= rented.since
-            else wire.BOOTING
+            else wire.LISTED_BOOTING
         )
-        listed = wire.Listed(
+        listed = wire.ListedMachine(
             machine_name(rented.number), MACHINE_TYPE, self._fleet.zone(rented.number), False, status,
             max(0.0, as_of - rented.since), self._addresses.worker(rented.number),
         )  # fmt: skip
--- a/pepperlatch/scale/host.py
+++ b/pepperlatch/scale/host.py
@@ -101,7 +101,9 @@
         self.machine.changed = False
         address = self._host.addresses.controller(node)
         try:
-            status, answer = await self._network.request(address, "POST", wire.REPORT, body, c.REPORT_ANSWER_TIMEOUT_S)
+            status, answer = await self._network.request(
+                address, "POST", wire.REPORT_PATH, body, c.REPORT_ANSWER_TIMEOUT_S
+            )
         except (NotSent, NoUsableResponse):
             status, answer = 0, None
         now = time.monotonic()
@@ -133,7 +135,7 @@
         self.machine.check_lease(now)
         self._host.statistics.traffic["commands"] += 1
         self._host.statistics.traffic["bytes of commands"] += len(request.body)
-        if request.path == wire.INSPECT:
+        if request.path == wire.INSPECT_PATH:
             return Response(200, self.machine.report())
         try:
             status, report = self.machine.take_command(orjson.loads(request.body), now)
--- a/pepperlatch/scale/machine.py
+++ b/pepperlatch/scale/machine.py
@@ -145,7 +145,7 @@
             self.tasks[key] = Task(unknown, TaskState.EXITED, Cause.UNKNOWN)
             return
         if any(other[0] == key[0] and task.state is not TaskState.EXITED for other, task in self.tasks.items()):
-            self.tasks[key] = Task(needs, TaskState.EXITED, Cause.BUSY)
+            self.tasks[key] = Task(needs, TaskState.EXITED, Cause.ALREADY_RUNNING)
         elif not self._room_for(needs):
             self.tasks[key] = Task(needs, TaskState.EXITED, Cause.NO_ROOM)
         else:
--- a/pepperlatch/scale/state_service.py
+++ b/pepperlatch/scale/state_service.py
@@ -84,17 +84,17 @@
     async def _answer(self, request: Request) -> Response:
         url = urlsplit(request.path)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
-        if url.path == wire.TXN:
+        if url.path == wire.TXN_PATH:
             return self._transaction(orjson.loads(request.body))
-        if url.path == wire.WATCH:
+        if url.path == wire.CHANGES_PATH:
             return await self._watch(query)
-        if url.path == wire.LEASES:
+        if url.path == wire.LEASES_PATH:
             return self._grant(orjson.loads(request.body))
-        if url.path.startswith(wire.LEASES + "/"):
+        if url.path.startswith(wire.LEASES_PATH + "/"):
             return self._lease(request.method, url.path.split("/")[2:])
-        if url.path == wire.KEYS:
+        if url.path == wire.KEYS_PATH:
             return self._page(query)
-        return self._one(url.path.removeprefix(wire.KEYS + "/"))
+        return self._one(url.path.removeprefix(wire.KEYS_PATH + "/"))
 
     # --- reading ----------------------------------------------------------------------------------
 
--- a/pepperlatch/scale/users.py
+++ b/pepperlatch/scale/users.py
@@ -55,7 +55,7 @@
         while True:
             try:
                 status, _ = await network.request(
-                    self._addresses[index], "GET", wire.HEALTH, None, c.HEALTH_PROBE_INTERVAL_S
+                    self._addresses[index], "GET", wire.HEALTH_PATH, None, c.HEALTH_PROBE_INTERVAL_S
                 )
                 self._healthy[index] = status == 200
             except (NotSent, NoUsableResponse):
@@ -87,17 +87,17 @@
         self._cancel_after_s = cancel_after_s
 
     async def run(self) -> None:
-        if not await self._repeat("submit", "POST", wire.JOBS, wire.to_plain(self._spec)):
+        if not await self._repeat("submit", "POST", wire.JOBS_PATH, wire.to_plain(self._spec)):
             return
         if self._cancel_after_s is not None:
             await trio.sleep(self._cancel_after_s)
-            await self._repeat("cancel", "POST", f"{wire.JOBS}/{self._spec.id}/{wire.CANCEL}", {})
+            await self._repeat("cancel", "POST", f"{wire.JOBS_PATH}/{self._spec.id}/{wire.CANCEL_SUBPATH}", {})
         await self._poll()
 
     async def _poll(self) -> None:
         while True:
             await trio.sleep(POLL_EVERY_S * self._users.random.uniform(0.8, 1.2))
-            answer = await self._ask("poll", "GET", f"{wire.JOBS}/{self._spec.id}", None, c.USER_POLL_TIMEOUT_S)
+            answer = await self._ask("poll", "GET", f"{wire.JOBS_PATH}/{self._spec.id}", None, c.USER_POLL_TIMEOUT_S)
             if answer.state in (wire.JobState.DONE.value, wire.JobState.CANCELLED.value):
                 return
 
