--- a/pepperlatch/protocol/__init__.py
+++ b/pepperlatch/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What is said to the outside: spellings, HTTP, and a client of each outside system."""
+"""The protocols to the outside: outer names, HTTP, and a client of each outside system."""
--- a/pepperlatch/protocol/cloud.py
+++ b/pepperlatch/protocol/cloud.py
@@ -1,4 +1,7 @@
-"""Client of the cloud's interface, inside its rate."""
+"""Client of the cloud's interface, within its rate limit.
+
+The leader rents and returns machines; while nobody leads, other controllers may return some.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,14 +17,16 @@
 
 
 class CloudError(Exception):
-    """The call got no usable answer; it may or may not have been carried out."""
+    """The call got no usable answer; it may have been carried out."""
 
 
 class NoCapacity(Exception):
-    """None to be had of this type, zone and kind at present."""
+    """The cloud has no machine of this type and zone, spot or ordinary, at present."""
 
 
 class CloudClient:
+    """Calls wait for the rate limit and raise CloudError, `hire` also NoCapacity."""
+
     def __init__(self, network: Network, addr: str, limits: CloudLimits, clock: Callable[[], float]) -> None:
         self._network = network
         self._addr = addr
@@ -43,6 +48,7 @@
         return answer
 
     async def types(self) -> list[wire.MachineType]:
+        """All machine types with their present prices."""
         answer = await self._call("GET", wire.TYPES_PATH)
         try:
             return wire.types_of(answer)
@@ -50,14 +56,17 @@
             raise CloudError(f"unexpected machine types: {error}") from None
 
     async def hire(self, request: str, type_name: str, zone: str, spot: bool, count: int) -> list[str]:
+        """Rent up to `count` machines; returns their names. Repeating the same `request` id rents no more."""
         return wire.hired_names(
             await self._call("POST", wire.MACHINES_PATH, wire.hire_body(request, type_name, zone, spot, count))
         )
 
     async def release(self, names: list[str]) -> None:
+        """Return machines to the cloud."""
         await self._call("POST", wire.RELEASE_PATH, wire.release_body(names))
 
     async def machines(self) -> list[wire.ListedMachine]:
+        """All rented machines. The list may lag behind, see `list_lag_s` of the settings."""
         listed: list[wire.ListedMachine] = []
         after = ""
         while True:
--- a/pepperlatch/protocol/http/client.py
+++ b/pepperlatch/protocol/http/client.py
@@ -1,4 +1,7 @@
-"""A pooled HTTP client that tells apart what was surely not sent and what may have been carried out."""
+"""A pooled HTTP client whose errors tell requests that were certainly not sent from those that may be carried out.
+
+Addresses are host and port; bodies are JSON both ways; times are seconds of trio's clock.
+"""
 
 from dataclasses import dataclass, field
 from typing import Any, Protocol
@@ -12,37 +15,39 @@
 
 
 class NotSent(Exception):
-    """No connection came about, so the request cannot be carried out, not even later."""
+    """No connection was made, so the request is not carried out, neither now nor later."""
 
 
 class NoUsableResponse(Exception):
-    """No answer: the request may have been carried out, or may yet be."""
+    """No answer, or none that can be read: the request may have been carried out, or may still be."""
 
 
 class Network(Protocol):
-    """What the protocol clients need of a network; the tests bring one in memory."""
+    """What the protocol clients need of a network; the tests implement it in memory."""
 
     async def request(
         self, addr: str, method: str, path: str, body: Any = None, deadline_s: float = 2.0
     ) -> tuple[int, Any]: ...
 
 
-def _unpacked(data: bytes) -> bytes:
-    """Raises h11.RemoteProtocolError if it is not what it says, or larger than any answer."""
+def _gunzip(data: bytes) -> bytes:
+    """Raises h11.RemoteProtocolError if the data is not whole gzip, or longer than MAX_UNPACKED_BYTES."""
     import zlib
 
-    unpacker = zlib.decompressobj(16 + zlib.MAX_WBITS)
+    decompressor = zlib.decompressobj(16 + zlib.MAX_WBITS)
     try:
-        plain = unpacker.decompress(data, c.MAX_UNPACKED_BYTES)
+        plain = decompressor.decompress(data, c.MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise h11.RemoteProtocolError(f"not gzip: {error}") from None
-    if unpacker.unconsumed_tail or not unpacker.eof:
+    if decompressor.unconsumed_tail or not decompressor.eof:
         raise h11.RemoteProtocolError("compressed answer cut off, or too large")
     return plain
 
 
 @dataclass(slots=True, eq=False)
-class _Link:
+class _Connection:
+    """A connection with its HTTP state; `idle_since` is set while it is in the pool."""
+
     addr: str
     stream: trio.SocketStream
     conn: h11.Connection
@@ -51,38 +56,42 @@
 
 @dataclass(slots=True)
 class HttpNetwork:
-    """Requests over TCP; connections are kept and used again while they are young.
+    """Requests over TCP; idle connections are pooled and reused for up to POOL_IDLE_S.
 
-    At most `max_connections` at once: one that nobody uses makes room for a new one, or a few hundred partners that
-    were asked lately would keep all others from being asked.
+    At most `max_connections` are open at once. At that limit the longest idle connection is closed for a new one:
+    without this, connections kept to a few hundred addresses would block requests to all others.
     """
 
     max_connections: int
     gzip: bool = False  # ask for compressed answers
-    received_bytes: int = 0  # bytes of bodies, as they came
-    _idle: dict[str, list[_Link]] = field(default_factory=dict)
-    _resting: dict[_Link, None] = field(default_factory=dict)  # all that are idle, the longest first
+    received_bytes: int = 0  # of all answers' bodies, before they are unpacked
+    _idle: dict[str, list[_Connection]] = field(default_factory=dict)
+    _idle_order: dict[_Connection, None] = field(default_factory=dict)  # all idle connections, the longest idle first
     _open: int = 0
 
     async def request(
         self, addr: str, method: str, path: str, body: Any = None, deadline_s: float = 2.0
     ) -> tuple[int, Any]:
-        """Status and decoded body. Raises NotSent or NoUsableResponse. Cancelled, it closes the connection it used."""
+        """Send a request; returns the status and the decoded body, None if that is empty.
+
+        `deadline_s`: seconds for the whole request, of which at most CONNECT_TIMEOUT_S go to connecting. Raises NotSent
+        or NoUsableResponse. If the caller is cancelled, the connection is closed.
+        """
         status, _, answer = await self.request_with_retry_after(addr, method, path, body, deadline_s)
         return status, answer
 
     async def request_with_retry_after(
         self, addr: str, method: str, path: str, body: Any = None, deadline_s: float = 2.0
     ) -> tuple[int, str, Any]:
-        """As `request`, with what the answer says in Retry-After between the two ("" if nothing)."""
+        """As `request`, with the answer's Retry-After header between status and body ("" if there is none)."""
         payload = b"" if body is None else orjson.dumps(body)
         started = trio.current_time()
-        link = await self._link(addr, min(c.CONNECT_TIMEOUT_S, deadline_s))
+        connection = await self._connect(addr, min(c.CONNECT_TIMEOUT_S, deadline_s))
         kept = False
         try:
             with trio.fail_after(max(0.01, deadline_s - (trio.current_time() - started))):
-                status, retry_after, data = await self._exchange(link, addr, method, path, payload)
-                kept = self._keep(addr, link)
+                status, retry_after, data = await self._exchange(connection, addr, method, path, payload)
+                kept = self._return_to_pool(addr, connection)
             return status, retry_after, (orjson.loads(data) if data else None)
         except (
             trio.TooSlowError,
@@ -96,17 +105,21 @@
             raise NoUsableResponse(f"{addr}{path}: answer is not JSON: {error}") from None
         finally:
             if not kept:
-                self._close(link)
+                self._close(connection)
 
-    async def _link(self, addr: str, seconds: float) -> _Link:
+    async def _connect(self, addr: str, seconds: float) -> _Connection:
+        """A pooled connection to the address, or a new one. Raises NotSent, also if all connections are in use."""
         while idle := self._idle.get(addr):
-            link = idle[-1]
-            self._wake(link)
-            if trio.current_time() - link.idle_since < c.POOL_IDLE_S and not link.stream.socket.is_readable():
-                return link
-            self._close(link)
-        if self._open >= self.max_connections and self._resting:
-            self._drop(next(iter(self._resting)))
+            connection = idle[-1]
+            self._take_from_pool(connection)
+            if (
+                trio.current_time() - connection.idle_since < c.POOL_IDLE_S
+                and not connection.stream.socket.is_readable()
+            ):
+                return connection
+            self._close(connection)
+        if self._open >= self.max_connections and self._idle_order:
+            self._drop_idle_one(next(iter(self._idle_order)))
         if self._open >= self.max_connections:
             raise NotSent("too many connections")
         host, port = split_address(addr)
@@ -115,7 +128,7 @@
         try:
             with trio.fail_after(seconds):
                 await sock.connect((host, port))
-            return _Link(addr, trio.SocketStream(sock), h11.Connection(h11.CLIENT))
+            return _Connection(addr, trio.SocketStream(sock), h11.Connection(h11.CLIENT))
         except BaseException as error:
             self._open -= 1
             sock.close()
@@ -123,8 +136,10 @@
                 raise NotSent(f"{addr}: {error!r}") from None
             raise
 
-    async def _exchange(self, link: _Link, addr: str, method: str, path: str, payload: bytes) -> tuple[int, str, bytes]:
-        conn, stream = link.conn, link.stream
+    async def _exchange(
+        self, connection: _Connection, addr: str, method: str, path: str, payload: bytes
+    ) -> tuple[int, str, bytes]:
+        conn, stream = connection.conn, connection.stream
         headers = [("Host", addr), ("Content-Length", str(len(payload))), ("Content-Type", "application/json")]
         if self.gzip:
             headers.append(("Accept-Encoding", "gzip"))
@@ -146,46 +161,47 @@
                 answer += event.data
             elif isinstance(event, h11.EndOfMessage):
                 self.received_bytes += len(answer)
-                return status, retry_after, _unpacked(bytes(answer)) if packed else bytes(answer)
+                return status, retry_after, _gunzip(bytes(answer)) if packed else bytes(answer)
             elif isinstance(event, h11.ConnectionClosed):
                 raise h11.RemoteProtocolError("closed before the answer")
 
-    def _keep(self, addr: str, link: _Link) -> bool:
+    def _return_to_pool(self, addr: str, connection: _Connection) -> bool:
+        """Whether the connection went back to the pool; if not, the caller closes it."""
         idle = self._idle.setdefault(addr, [])
         if (
-            link.conn.our_state is not h11.DONE
-            or link.conn.their_state is not h11.DONE
+            connection.conn.our_state is not h11.DONE
+            or connection.conn.their_state is not h11.DONE
             or len(idle) >= c.MAX_IDLE_CONNECTIONS_PER_ADDRESS
         ):
             return False
-        link.conn.start_next_cycle()
-        link.idle_since = trio.current_time()
-        idle.append(link)
-        self._resting[link] = None
+        connection.conn.start_next_cycle()
+        connection.idle_since = trio.current_time()
+        idle.append(connection)
+        self._idle_order[connection] = None
         return True
 
-    def _close(self, link: _Link) -> None:
+    def _close(self, connection: _Connection) -> None:
         self._open -= 1
-        link.stream.socket.close()
+        connection.stream.socket.close()
 
-    def _wake(self, link: _Link) -> None:
-        """It rests no more; nothing is kept of a partner without an idle connection."""
-        del self._resting[link]
-        self._idle[link.addr].remove(link)
-        if not self._idle[link.addr]:
-            del self._idle[link.addr]
+    def _take_from_pool(self, connection: _Connection) -> None:
+        """Remove an idle connection from the pool; no entry is kept for an address without idle connections."""
+        del self._idle_order[connection]
+        self._idle[connection.addr].remove(connection)
+        if not self._idle[connection.addr]:
+            del self._idle[connection.addr]
 
-    def _drop(self, link: _Link) -> None:
-        self._wake(link)
-        self._close(link)
+    def _drop_idle_one(self, connection: _Connection) -> None:
+        self._take_from_pool(connection)
+        self._close(connection)
 
     def close(self) -> None:
-        """Close all pooled connections; a request that is under way keeps its own."""
-        while self._resting:
-            self._drop(next(iter(self._resting)))
+        """Close all pooled connections; requests in flight keep theirs."""
+        while self._idle_order:
+            self._drop_idle_one(next(iter(self._idle_order)))
 
     def drop_idle(self) -> None:
-        """Close pooled connections that nobody used for a while."""
+        """Close pooled connections that were idle for POOL_IDLE_S; the controller calls this at that interval."""
         now = trio.current_time()
-        while self._resting and now - next(iter(self._resting)).idle_since >= c.POOL_IDLE_S:
-            self._drop(next(iter(self._resting)))
+        while self._idle_order and now - next(iter(self._idle_order)).idle_since >= c.POOL_IDLE_S:
+            self._drop_idle_one(next(iter(self._idle_order)))
--- a/pepperlatch/protocol/http/server.py
+++ b/pepperlatch/protocol/http/server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server: every request is answered by one async function, at a deadline."""
+"""A small HTTP/1.1 server: one async function answers every request. Reading and writing have deadlines."""
 
 import logging
 import re
@@ -17,6 +17,8 @@
 
 @dataclass(slots=True)
 class Request:
+    """`path`: the request's target, with its query."""
+
     method: str
     path: str
     body: bytes
@@ -31,7 +33,7 @@
 
 
 class _Refused(Exception):
-    """A request that is answered without being read to its end; the connection ends with it."""
+    """A request that is answered without reading all of it; the connection is closed with the answer."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -42,9 +44,10 @@
 
 
 class Server:
-    """Serves one listener; holds at most `max_connections` connections and refuses the rest.
+    """Serves one listener; holds at most `max_connections` connections and closes further ones at once.
 
-    Before it comes to that, connections end with their next answer, but for those of whom `keeps_open` is true.
+    Above HIGH_CONNECTION_SHARE of that limit, a connection is closed with its next answer unless `keeps_open` is true
+    of the request: so workers keep theirs while users reconnect.
     """
 
     def __init__(
@@ -77,8 +80,8 @@
             try:
                 request = await self._read(conn, stream)
             except h11.RemoteProtocolError as error:
-                unspoken = _OTHER_VERSION.search(str(error))
-                status, text = (505, _unspoken(unspoken[1])) if unspoken else (400, "malformed request")
+                version = _OTHER_VERSION.search(str(error))
+                status, text = (505, _unsupported(version[1])) if version else (400, "malformed request")
                 await self._refuse(conn, stream, _Refused(status, text))
                 return
             except _Refused as refused:
@@ -86,8 +89,8 @@
                 return
             if request is None:
                 return
-            crowded = self._open > c.HIGH_CONNECTION_SHARE * self._max_connections and not self._keeps_open(request)
-            await self._write(conn, stream, await self._answer(request), close=crowded)
+            close = self._open > c.HIGH_CONNECTION_SHARE * self._max_connections and not self._keeps_open(request)
+            await self._write(conn, stream, await self._answer(request), close=close)
             if conn.our_state is not h11.DONE or conn.their_state is not h11.DONE:
                 return
             conn.start_next_cycle()
@@ -96,11 +99,14 @@
         try:
             return await self._handler(request)
         except Exception:
-            log.exception("request %s %s failed", request.method, request.path)
+            log.exception("request %s %s raised an exception; answered with status 500", request.method, request.path)
             return Response(500, {"error": "internal error"})
 
     async def _event(self, conn: h11.Connection, stream: trio.abc.Stream, seconds: float) -> Any:
-        """What has arrived already needs no deadline: mostly a whole request is read at once."""
+        """The next event of the connection; ConnectionClosed if none comes within `seconds`.
+
+        What has arrived already needs no deadline: mostly one read takes a whole request.
+        """
         event = conn.next_event()
         if event is not h11.NEED_DATA:
             return event
@@ -112,7 +118,7 @@
         return h11.ConnectionClosed()
 
     async def _read(self, conn: h11.Connection, stream: trio.abc.Stream) -> Request | None:
-        """The next request; None if the peer is gone."""
+        """The next request; None if the client is gone or too slow. Raises _Refused and h11.RemoteProtocolError."""
         head = await self._event(conn, stream, c.IDLE_CONNECTION_S)
         if not isinstance(head, h11.Request):
             return None
@@ -127,12 +133,15 @@
                     raise _too_large()
             elif isinstance(event, h11.EndOfMessage):
                 method, target = head.method.decode("ascii"), head.target.decode("ascii", "replace")
-                return Request(method, target, bytes(body), _takes_gzip(head))
+                return Request(method, target, bytes(body), _accepts_gzip(head))
             else:
                 return None
 
     async def _refuse(self, conn: h11.Connection, stream: trio.abc.Stream, refused: _Refused) -> None:
-        """Answer, and read on for a moment: closing on what the peer still sends would take the answer from it."""
+        """Answer, then read on for a moment: closing while the client still sends could destroy the answer on its way.
+
+        What is read is dropped; REFUSAL_DRAIN_S and REFUSAL_DRAIN_BYTES bound it.
+        """
         if conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         await self._write(conn, stream, Response(refused.status, {"error": str(refused)}), close=True)
@@ -164,22 +173,22 @@
     return b"" if body is None else orjson.dumps(body)
 
 
-def _takes_gzip(head: h11.Request) -> bool:
+def _accepts_gzip(head: h11.Request) -> bool:
     return any(name == b"accept-encoding" and b"gzip" in value for name, value in head.headers)
 
 
 def compressed(payload: bytes) -> bytes:
-    """For clients that say they read gzip."""
+    """The payload as gzip, for requests with `gzip`; the caller sets Content-Encoding."""
     import zlib
 
-    packer = zlib.compressobj(c.COMPRESS_LEVEL, zlib.DEFLATED, 16 + zlib.MAX_WBITS)  # 16: in gzip's own wrapping
-    return packer.compress(payload) + packer.flush()
+    compressor = zlib.compressobj(c.COMPRESS_LEVEL, zlib.DEFLATED, 16 + zlib.MAX_WBITS)  # 16: with gzip's header
+    return compressor.compress(payload) + compressor.flush()
 
 
 _OTHER_VERSION = re.compile(r"HTTP/((?!1\.)\d[\d.]*)")
 
 
-def _unspoken(version: str) -> str:
+def _unsupported(version: str) -> str:
     return f"HTTP/{version} is not spoken here, HTTP/1.1 is"
 
 
@@ -188,10 +197,10 @@
 
 
 def _check_head(head: h11.Request) -> None:
-    """Refuse at once what no body could mend."""
+    """Refuse at once a request whose head alone shows that it cannot be served. Raises _Refused."""
     version = head.http_version.decode("ascii")
     if not version.startswith("1."):
-        raise _Refused(505, _unspoken(version))
+        raise _Refused(505, _unsupported(version))
     declared = next((value for name, value in head.headers if name == b"content-length"), b"0")
     if int(declared) > c.MAX_BODY_BYTES:
         raise _too_large()
--- a/pepperlatch/protocol/state.py
+++ b/pepperlatch/protocol/state.py
@@ -1,4 +1,7 @@
-"""Client of the state service: keys, transactions, leases and watches, inside this node's budget."""
+"""Client of the state service: keys, transactions, leases and watches, within this node's share of the rate limits.
+
+Every call raises NotExecuted or OutcomeUnknown if it got no usable answer; the callers decide whether to retry.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -15,28 +18,28 @@
 
 
 class NotExecuted(Exception):
-    """The request was surely not carried out: refused, or no connection."""
+    """The request was certainly not carried out: refused, or no connection."""
 
 
 class RateLimited(NotExecuted):
-    """Beyond the service's rate at this moment."""
+    """The service refused the request because the rate limit is exceeded at this moment."""
 
 
 class Rejected(NotExecuted):
-    """The service will not carry it out as it stands, however often it is asked."""
+    """The service will never carry out the request as it stands; a retry is useless."""
 
 
 class OutcomeUnknown(Exception):
-    """No answer: it may have been carried out, or may yet be."""
+    """There was no answer: the request may have been carried out, or may still be."""
 
 
 class LeaseGone(Exception):
-    """The lease has ended."""
+    """The lease has ended, so it cannot be renewed and no key can be written under it."""
 
 
 @dataclass(slots=True)
 class Outcome:
-    """Of a transaction: its revision if it was applied, else the keys whose versions did not match."""
+    """Result of a transaction: its revision if it was applied, else the keys whose versions did not match."""
 
     revision: int
     failed: list[str] = field(default_factory=list)
@@ -47,6 +50,12 @@
 
 
 class StateClient:
+    """One controller's client; it waits where a request would exceed this node's share of the rate limits.
+
+    `addr`: host and port. `limits`: the service's limits for all controllers together. `nodes`: number of controllers.
+    `clock`: steady time in seconds.
+    """
+
     def __init__(
         self, network: Network, addr: str, limits: StateLimits, nodes: int, clock: Callable[[], float]
     ) -> None:
@@ -60,13 +69,13 @@
         self.set_role(False)
         self.last_success_at = clock()
         self.last_failure_at = -1.0
-        self.failing_since = -1.0  # when the answers stopped, if they have
+        self.failing_since = -1.0  # when the answers stopped; meaningful only while `reachable` is false
 
     def set_role(self, leads: bool) -> None:
-        """The budgets are for all nodes together: one part for the leader, one for the others.
+        """Take the leader's or a follower's share of the rate limits, which all nodes share.
 
-        Requests keep to fixed parts: every node watches and reads all the time. Writes of the others are few and come
-        unevenly, so each may use the whole part of the others until it is refused.
+        Request shares are fixed, since every node watches and reads all the time. Followers write little and unevenly,
+        so each may use the whole share of all followers until it is refused.
         """
         share = c.STATE_SHARE_LEADER if leads else c.STATE_SHARE_OTHERS / max(1, self._nodes - 1)
         self._requests.rate = self._limits.rps * share
@@ -77,24 +86,25 @@
             self._writes.set_limits(rate * c.WRITE_SHARE_OTHERS / max(1, self._nodes - 1), rate * c.WRITE_SHARE_OTHERS)
 
     def writes_within(self, seconds: float) -> int:
-        """How many puts this node's share allows within that time."""
+        """How many writes this node's share of the rate allows within so many seconds."""
         return max(1, int(self._writes.rate * (seconds + self._writes.burst_s)))
 
     def spare_writes(self) -> int:
-        """How many puts may be made now that nobody waits for, with the rest kept for those that somebody does."""
+        """How many background writes may be made now; the rest of the saved-up rate is kept for writes waited for."""
         writes = self._writes
         saved = writes.available(self._clock())
         full = saved >= writes.rate * writes.burst_s
         return max(int(full), int(saved - c.BACKGROUND_WRITE_RESERVE_SHARE * writes.rate * writes.burst_s))
 
     def max_background_changes(self) -> int:
-        """How many changes a write that nobody waits for may have, to find its turn at all."""
+        """How many changes a background write may have; a larger one might never find enough of the rate saved up."""
         return max(1, int((1 - c.BACKGROUND_WRITE_RESERVE_SHARE) * self._writes.min_rate * self._writes.burst_s))
 
     def reachable(self) -> bool:
+        """Whether the latest request was answered; one refused for the rate (429) counts neither way."""
         return self.last_success_at >= self.last_failure_at
 
-    def _bad(self) -> None:
+    def _on_failure(self) -> None:
         if self.reachable():
             self.failing_since = self._clock()
         self.last_failure_at = self._clock()
@@ -102,27 +112,32 @@
     async def _call(
         self, method: str, path: str, body: Any = None, seconds: float = c.STATE_REQUEST_TIMEOUT_S, urgent: bool = False
     ) -> tuple[int, Any]:
+        """Send one request, after waiting for the request rate unless it is urgent; returns status and decoded body.
+
+        `seconds`: deadline for the answer. Raises RateLimited (429), NotExecuted (503, or no connection) or
+        OutcomeUnknown (no answer).
+        """
         wait = self._requests.take(self._clock(), 1.0, urgent)
         if wait > 0:
             await trio.sleep(wait)
         try:
             status, answer = await self._network.request(self._addr, method, path, body, seconds)
         except NotSent as error:
-            self._bad()
+            self._on_failure()
             raise NotExecuted(str(error)) from None
         except NoUsableResponse as error:
-            self._bad()
+            self._on_failure()
             raise OutcomeUnknown(str(error)) from None
         if status == 429:
             raise RateLimited(f"{path}: {status}")
         if status == 503:
-            self._bad()
+            self._on_failure()
             raise NotExecuted(f"{path}: {status}")
         self.last_success_at = self._clock()
         return status, answer
 
     async def responds(self) -> bool:
-        """Whether the service answers this node right now."""
+        """Whether the service answers this node now, within STATE_FRESH_S. Another controller asks for it."""
         try:
             await self._call("GET", f"{wire.KEYS_PATH}/ping", None, c.STATE_FRESH_S, urgent=True)
             return True
@@ -130,14 +145,17 @@
             return False
 
     async def read(self, key: str) -> wire.KeyValue | None:
-        """One key as it stands; None if there is none."""
+        """The key as it stands; None if it does not exist."""
         status, answer = await self._call("GET", f"{wire.KEYS_PATH}/{key}")
         return None if status == 404 else _checked(answer, wire.KeyValue)
 
     async def read_all(
         self, prefix: str, transform: Callable[[wire.KeyValue], wire.KeyValue] = lambda pair: pair
     ) -> tuple[int, list[wire.KeyValue]]:
-        """All pairs below a prefix, with the revision of the first page; each as `transform` makes it."""
+        """All pairs below a prefix, each passed through `transform`, and the revision of the first page.
+
+        Changes between two pages may be missed, so the caller watches from that revision.
+        """
         pairs: list[wire.KeyValue] = []
         revision, after = -1, ""
         while True:
@@ -150,7 +168,10 @@
             after = page.items[-1].key
 
     async def changes(self, prefix: str, after: int, wait_ms: int) -> wire.Changes | None:
-        """What changed since; None if the service no longer keeps changes so old."""
+        """Changes below `prefix` since revision `after`; waits up to `wait_ms` milliseconds for the first one.
+
+        None if the service no longer keeps changes so old; the caller then reads everything anew.
+        """
         seconds = c.STATE_REQUEST_TIMEOUT_S + wait_ms / 1000
         status, answer = await self._call("GET", wire.watch_path(prefix, after, wait_ms), None, seconds)
         return None if status == 410 else _checked(answer, wire.Changes)
@@ -159,9 +180,11 @@
         self, conditions: list[dict[str, Any]], writes: list[dict[str, Any]], urgent: bool = False,
         seconds: float = c.STATE_REQUEST_TIMEOUT_S,
     ) -> Outcome:  # fmt: skip
-        """Somebody waits for most of them, so they do not stand in line behind reads, which make up for it.
+        """Apply all writes if all conditions hold, else none.
 
-        OutcomeUnknown after `seconds` without an answer; cancelled, it may be carried out.
+        Somebody waits for most transactions, so they do not queue behind reads; reads wait the longer for it. An urgent
+        one does not wait for the write rate either. Raises LeaseGone, Rejected, NotExecuted, or OutcomeUnknown after
+        `seconds` without an answer. If the caller is cancelled, the transaction may be carried out all the same.
         """
         status, answer = await self._write(wire.txn_body(conditions, writes), len(writes), urgent, seconds)
         if status == 200:
@@ -175,7 +198,10 @@
         raise NotExecuted(f"transaction: {status} {answer}")
 
     async def _write(self, body: dict[str, Any], count: int, urgent: bool, seconds: float) -> tuple[int, Any]:
-        """Tried again while the service is busy, as long as an answer may take; cancelled, it may be carried out."""
+        """Send a transaction; retry it while the rate is exceeded, for as long as an answer may take.
+
+        If the caller is cancelled, the transaction may be carried out all the same.
+        """
         until = self._clock() + c.STATE_REQUEST_TIMEOUT_S
         while True:
             wait = self._writes.take(self._clock(), count, urgent)
@@ -189,10 +215,12 @@
                     raise
 
     async def grant_lease(self, ttl_ms: int) -> int:
+        """Ask for a lease of so many milliseconds; returns its number."""
         _, answer = await self._call("POST", wire.LEASES_PATH, wire.lease_body(ttl_ms), urgent=True)
         return wire.lease_of(answer)
 
     async def renew_lease(self, lease: int, seconds: float) -> None:
+        """Let the lease run for its whole time again. Raises LeaseGone if it has ended."""
         status, _ = await self._call(
             "POST", f"{wire.LEASES_PATH}/{lease}/{wire.TOUCH_SUBPATH}", {}, seconds, urgent=True
         )
@@ -200,6 +228,7 @@
             raise LeaseGone
 
     async def revoke_lease(self, lease: int) -> None:
+        """End the lease, and with it all keys written under it."""
         await self._call("DELETE", f"{wire.LEASES_PATH}/{lease}", urgent=True)
 
 
--- a/pepperlatch/protocol/token_bucket.py
+++ b/pepperlatch/protocol/token_bucket.py
@@ -1,11 +1,11 @@
-"""Buckets of tokens that keep a client inside a service's rate."""
+"""Token buckets that keep a client within a service's rate limit. No I/O; the caller passes the time in seconds."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """`rate` a second, at most `burst_s` seconds' worth saved up; urgent takers may run into debt."""
+    """Gains `rate` tokens a second and holds at most `burst_s` seconds' worth; takers may bring it into debt."""
 
     rate: float
     burst_s: float = 1.0
@@ -13,10 +13,11 @@
     updated_at: float = 0.0
 
     def available(self, now: float) -> float:
+        """Tokens held at `now`; negative while the bucket is in debt."""
         return min(self.rate * self.burst_s, self.tokens + (now - self.updated_at) * self.rate)
 
     def take(self, now: float, amount: float = 1.0, urgent: bool = False) -> float:
-        """Take `amount`; the seconds to wait before using it (0 for the urgent)."""
+        """Take `amount` tokens; returns the seconds to wait before using them, 0 if urgent."""
         self.tokens = self.available(now) - amount
         self.updated_at = now
         return 0.0 if urgent or self.tokens >= 0 else -self.tokens / self.rate
@@ -24,10 +25,11 @@
 
 @dataclass(slots=True)
 class SharedTokenBucket(TokenBucket):
-    """A part of a rate that several share without asking each other.
+    """A client's part of a rate limit that several clients share without asking each other.
 
-    Each may use all of it (`max_rate`) while the others are quiet. Whoever is refused falls to half, at the least to
-    what is surely its own (`min_rate`), and comes back to all of it within `recovery_s`.
+    Each client may use the whole of it (`max_rate`) while the others are quiet. A client that is refused falls to half
+    of its rate, but not below what is surely its own (`min_rate`), and recovers from there to the whole within
+    `recovery_s`.
     """
 
     min_rate: float = 0.0
@@ -35,6 +37,7 @@
     recovery_s: float = 1.0
 
     def set_limits(self, min_rate: float, max_rate: float) -> None:
+        """Set both bounds, in tokens a second, and the present rate to the upper one."""
         self.min_rate, self.max_rate, self.rate = min_rate, max_rate, max_rate
 
     def available(self, now: float) -> float:
@@ -45,4 +48,5 @@
         return TokenBucket.available(self, now)
 
     def on_refused(self, now: float) -> None:
+        """Lower the rate and drop the saved tokens after the service refused a request for its rate."""
         self.tokens, self.updated_at, self.rate = 0.0, now, max(self.min_rate, self.rate / 2)
--- a/pepperlatch/protocol/wire.py
+++ b/pepperlatch/protocol/wire.py
@@ -1,4 +1,8 @@
-"""Spellings of the protocols and of the platform's settings file; the only module that knows them."""
+"""Outer names of the protocols and of the platform's settings file; the only module that spells them.
+
+Structs map this project's attribute names to the outer field names through rename tables, so an attribute may change
+while the name on the wire stays. Functions build request and answer bodies, or read them.
+"""
 
 from enum import Enum
 from typing import Any
@@ -7,41 +11,52 @@
 
 
 class Kind(str, Enum):
+    """Kind of a job. Pipeline files name the members, so these keep their names, as do those of Priority."""
+
     ARRAY = "sweep"
     GANG = "group"
     SERVICE = "daemon"
 
 
 class Priority(str, Enum):
+    """Priority of a job, strongest first."""
+
     PRODUCTION = "production"
     HIGH = "urgent"
     NORMAL = "standard"
     LOW = "low"
 
 
+# A lower rank goes first.
 PRIORITY_RANK = {Priority.PRODUCTION: 0, Priority.HIGH: 1, Priority.NORMAL: 2, Priority.LOW: 3}
 
 
 class TaskState(str, Enum):
-    FETCHING = "pulling"
-    WAITING = "waiting"
+    """State of a task as its worker reports it."""
+
+    FETCHING = "pulling"  # its image is being fetched
+    WAITING = "waiting"  # of a gang: for the other tasks of the gang
     RUNNING = "running"
-    SAVING = "flushing"
-    EXITED = "ended"
+    SAVING = "flushing"  # stopped, and saving its state
+    EXITED = "ended"  # ended for the reported cause; listed until it is reaped
 
 
 class Cause(str, Enum):
+    """Why a task ended, or why a worker did not start it."""
+
     DONE = "done"
-    STOPPED = "halted"
-    PEERS_LOST = "mates_gone"
+    STOPPED = "halted"  # killed by order
+    PEERS_LOST = "mates_gone"  # of a gang: another task of the running gang was missing or hung for too long
     ALONE = "alone"
     ERROR = "error"
-    NO_ROOM = "full"
-    ALREADY_RUNNING = "in_use"
-    UNKNOWN = "no_such"
+    NO_ROOM = "full"  # the machine has no room for it
+    ALREADY_RUNNING = "in_use"  # another attempt of the same task is on the machine
+    UNKNOWN = "no_such"  # the worker does not know the job
 
 
 class JobState(str, Enum):
+    """State of a job as users see it."""
+
     QUEUED = "queued"
     RUNNING = "running"
     DONE = "done"
@@ -49,8 +64,10 @@
 
 
 FINAL_JOB_STATES = (JobState.DONE, JobState.CANCELLED)
+# Causes with which a worker refuses to start a launched task.
 LAUNCH_REFUSALS = (Cause.NO_ROOM, Cause.ALREADY_RUNNING, Cause.UNKNOWN)
 
+# The keys are also this project's names for users (`job_to_wire`, `job_from_wire`), so they must not change.
 _JOB = {
     "id": "name_id", "job_class": "jobclass", "team": "crew", "kind": "shape", "priority": "urgency",
     "tasks": "pieces", "cpus": "cores", "image": "bundle", "image_gb": "pull_gb", "types": "builds",
@@ -61,6 +78,14 @@
 
 
 class JobSpec(msgspec.Struct, rename=_JOB, gc=False):
+    """Description of a job as users submit it. Amounts are per task.
+
+    `types`: names of the machine types that are allowed, None for all. `zone`: the only allowed zone. `one_zone`: all
+    tasks in the same zone. `spread`: at most half of the tasks in one zone. `spot`: spot machines are allowed.
+    `estimate_s`: expected run time of a task in seconds. `checkpoint_s`: seconds between two checkpoints, 0 for none.
+    `save_s`: seconds that a checkpoint takes. `deadline_s`: seconds from acceptance until the job is due.
+    """
+
     id: str
     job_class: str
     team: str
@@ -81,13 +106,15 @@
     types: list[str] | None = None
     zone: str | None = None
     deadline_s: float | None = None
-    needs: list[str] | None = None  # jobs that have to be done before any task of this one starts
+    needs: list[str] | None = None  # ids of jobs that have to be done before any task of this one starts
 
 
 class TaskReport(
     msgspec.Struct,
     rename={"task": "piece", "attempt": "try", "state": "status", "end_cause": "cause", "saved": "stored"},
 ):
+    """One task in a worker's report. `end_cause`: set once the task has exited. `saved`: "stored" on the wire."""
+
     task: str
     attempt: int
     state: TaskState
@@ -102,6 +129,13 @@
 
 
 class Report(msgspec.Struct, rename=_REPORT):
+    """A worker's report: its heartbeat, its answer to an inspection, and its answer to commands.
+
+    `session`: number of the worker's session; the next one begins when the worker's lease has ended. `seq`: number of
+    the report. `token`: the highest fencing token that the worker has seen. `notice_s`: seconds until the cloud
+    reclaims a spot machine, None without a notice.
+    """
+
     machine: str
     addr: str
     type: str
@@ -121,6 +155,8 @@
 
 
 class MachineType(msgspec.Struct, rename=_TYPE):
+    """A machine type of the cloud. `boot_s`: its usual boot time in seconds. `zones`: where it can be rented."""
+
     name: str
     cpus: float
     gpus: float
@@ -145,6 +181,8 @@
 
 
 class ListedMachine(msgspec.Struct, rename=_LISTED):
+    """A machine in the cloud's list of rented machines. `age_s`: seconds since it was rented."""
+
     name: str
     type: str
     zone: str
@@ -154,16 +192,20 @@
     addr: str | None = None
 
 
-LISTED_BOOTING, LISTED_FAILED = "starting", "failed"
+LISTED_BOOTING, LISTED_FAILED = "starting", "failed"  # values of ListedMachine.state
 
 
 class KeyValue(msgspec.Struct, rename={"key": "k", "version": "stamp"}):
+    """A key of the state service with its value and the revision that wrote it."""
+
     key: str
     value: Any
     version: int
 
 
 class Change(msgspec.Struct, rename={"put": "set", "version": "stamp"}):
+    """One change of a key in the state service: `put` or `delete` names the key."""
+
     version: int
     put: str | None = None
     delete: str | None = None
@@ -171,21 +213,28 @@
 
 
 class KeyPage(msgspec.Struct, rename={"items": "pairs", "more": "truncated", "revision": "ledger_mark"}):
+    """One page of keys. `more`: there are further pages. `revision`: the service's revision at the reading."""
+
     items: list[KeyValue]
     more: bool
     revision: int
 
 
 class Changes(msgspec.Struct, rename={"revision": "ledger_mark", "events": "log"}):
+    """Answer of a watch: the changes up to `revision`, oldest first."""
+
     revision: int
     events: list[Change]
 
 
 class MachinePage(msgspec.Struct, rename={"machines": "perches", "more": "truncated"}):
+    """One page of the cloud's list of machines."""
+
     machines: list[ListedMachine]
     more: bool = False
 
 
+# Rename tables of the structs in `settings.py`.
 SETTINGS_NODE = {"node": "node_name", "listen": "bind", "peers": "members", "services": "outside"}
 SETTINGS_PEER = {"node": "node_name", "addr": "endpoint"}
 SETTINGS_PARAMS = {"limits": "machine_limits", "max_clock_error_ms": "clock_error_ms"}
@@ -205,25 +254,28 @@
 
 
 def job_id(text: str) -> str:
+    """The id of a job whose variable part is `text`; the whole has to match JOB_ID_PATTERN."""
     return f"run-{text}"
 
 
 def job_id_of(value: dict[str, Any]) -> object:
+    """The id in an unchecked job description; of any type, None if it is missing."""
     return value.get(ID_FIELD)
 
 
 def job_to_wire(values: dict[str, Any]) -> dict[str, Any]:
-    """A description by this project's names, as POST /work takes it."""
+    """Turn a job description with this project's field names into the body of POST /work."""
     return {_JOB.get(name, name): value for name, value in values.items()}
 
 
 def job_from_wire(fields: dict[str, Any]) -> dict[str, Any]:
-    """The other way round, for people."""
-    words = {spelled: name for name, spelled in _JOB.items()}
-    return {words.get(name, name): value for name, value in fields.items()}
+    """Turn the body of POST /work into a job description with this project's field names, for people to read."""
+    names = {outer: name for name, outer in _JOB.items()}
+    return {names.get(field, field): value for field, value in fields.items()}
 
 
 def job_answer(job_id: str, state: JobState, done: int | None = None, running: int | None = None) -> dict[str, Any]:
+    """Answer to a user about a job. `done`, `running`: numbers of tasks, left out unless `done` is given."""
     answer: dict[str, Any] = {"name_id": job_id, "status": state.value}
     if done is not None:
         answer["done"] = done
@@ -232,60 +284,73 @@
 
 
 def launch(task: str, attempt: int) -> dict[str, Any]:
+    """Order to a worker to start this attempt of the task."""
     return {"verb": "launch", "piece": task, "try": attempt}
 
 
 def kill(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
+    """Order to a worker to stop the attempt; the task has `grace_s` seconds to save its state."""
     return {"verb": "kill", "piece": task, "try": attempt, "wind_down_s": grace_s}
 
 
 def reap(task: str, attempt: int) -> dict[str, Any]:
+    """Order to a worker to forget an exited attempt, whose end the leader has taken in."""
     return {"verb": "reap", "piece": task, "try": attempt}
 
 
 def report_answer(token: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
+    """Answer to a worker's report: the fencing token, and orders made by `launch`, `kill` and `reap`."""
     return {"baton": token, "orders": orders}
 
 
 def answer_token(answer: dict[str, Any]) -> int:
-    """The token of the answer to a report; 0 if it has none."""
+    """The fencing token in the answer to a report; 0 if it has none."""
     token = answer.get("baton")
     return token if isinstance(token, int) else 0
 
 
 def commands_body(token: int, session: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
+    """Body of a command to a worker, which executes it only in that session and unless it knows a higher token."""
     return {"baton": token, "tenure": session, "orders": orders}
 
 
-def redirect_body(leader: str | None) -> dict[str, Any]:
-    return {"foreman": leader} if leader else {}
+def redirect_body(controller: str | None) -> dict[str, Any]:
+    """Body of a 421 that sends a worker to another controller; None names no one, and the worker tries the next."""
+    return {"foreman": controller} if controller else {}
 
 
 def hire_body(request: str, type_name: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+    """Body of a rental; the cloud carries out each `request` id once."""
     return {"hire": request, "build": type_name, "yard": zone, "loaners": spot, "count": count}
 
 
 def hired_names(answer: dict[str, Any]) -> list[str]:
+    """Names of the rented machines in the answer to a rental."""
     return list(answer["perches"])
 
 
 def release_body(names: list[str]) -> dict[str, Any]:
+    """Body of a request to return the named machines."""
     return {"perches": names}
 
 
 def machines_path(after: str, limit: int) -> str:
+    """Path of the page of at most `limit` machines that follow the name `after`; from the first if it is empty."""
     return f"{MACHINES_PATH}?page={limit}" + (f"&after={after}" if after else "")
 
 
 def types_of(answer: dict[str, Any]) -> list[MachineType]:
+    """The machine types in the cloud's answer; raises ValidationError or KeyError if there are none to read."""
     return list(convert(answer["builds"], list[MachineType]))
 
 
 def to_plain(value: Any) -> Any:
+    """Turn a struct into dictionaries, lists and scalars under its outer names."""
     return msgspec.to_builtins(value)
 
 
 def version_condition(key: str, version: int) -> dict[str, Any]:
+    """Condition of a transaction: the key still has this version; 0 means that it does not exist."""
     return {"k": key, "stamp": version}
 
 
@@ -294,10 +359,12 @@
 
 
 def written_key(change: dict[str, Any]) -> str:
+    """The key that a `put` or `delete` changes."""
     return str(change.get("set") or change.get("delete"))
 
 
 def put(key: str, value: Any, lease: int | None = None) -> dict[str, Any]:
+    """Write of a transaction; with a lease the key vanishes when the lease ends."""
     write: dict[str, Any] = {"set": key, "value": value}
     if lease is not None:
         write["tenancy"] = lease
@@ -313,10 +380,12 @@
 
 
 def keys_path(prefix: str, after: str, limit: int) -> str:
+    """Path of the page of at most `limit` keys below `prefix` that follow `after`; from the first if it is empty."""
     return f"{KEYS_PATH}?under={prefix}&page={limit}" + (f"&after={after}" if after else "")
 
 
 def watch_path(prefix: str, after: int, wait_ms: int) -> str:
+    """Path of a watch: changes below `prefix` since revision `after`, answered within `wait_ms` milliseconds."""
     return f"{CHANGES_PATH}?under={prefix}&after={after}&wait_ms={wait_ms}"
 
 
@@ -333,4 +402,5 @@
 
 
 def failed_keys(answer: dict[str, Any]) -> list[str]:
+    """Keys whose version conditions did not hold, in the answer to a transaction that was not applied."""
     return list(answer.get("failed") or [])
