--- a/pepperlatch/console/part.py
+++ b/pepperlatch/console/part.py
@@ -13,11 +13,11 @@
 
 from pepperlatch import features
 from pepperlatch.constants import console as c
+from pepperlatch.controller.extensions import Extension, ExtensionContext
 from pepperlatch.controller.leadership import Term
-from pepperlatch.controller.parts import Core, Part
 from pepperlatch.policy.events import Listener
 from pepperlatch.protocol.http.server import Request, Response, Server
-from pepperlatch.protocol.state import Away, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown
 from pepperlatch.settings import split_address
 
 if TYPE_CHECKING:
@@ -28,12 +28,14 @@
 log = logging.getLogger(__name__)
 
 
-class Console(Part):
+class Console(Extension):
     name = "console"
     prefix = "c/"
-    operators_paths: Sequence[str] = ("/console", "/metrics")
+    operator_paths: Sequence[str] = ("/console", "/metrics")
 
-    def __init__(self, core: Core, wanted: features.Console, spent: Callable[[], float] = time.process_time) -> None:
+    def __init__(
+        self, core: ExtensionContext, wanted: features.Console, spent: Callable[[], float] = time.process_time
+    ) -> None:
         self._core = core
         self._wanted = wanted
         self._spent = spent
@@ -41,7 +43,7 @@
         self._made: Views | None = None
         self._looked = trio.Event()
 
-    def listen(self, leader: "Leader") -> Listener:
+    def create_listener(self, leader: "Leader") -> Listener:
         from pepperlatch.console.recorder import Recorder
 
         over = None
@@ -86,12 +88,12 @@
                 from pepperlatch.console.public import Public
 
                 host, port = split_address(self._wanted.public.listen)
-                server = Server(Public(self._views(), self._wanted.public).handle, c.PUBLIC_CONNECTIONS)
+                server = Server(Public(self._views(), self._wanted.public).handle, c.MAX_PUBLIC_CONNECTIONS)
                 nursery.start_soon(server.serve, host, port)
             await self._looked.wait()
             await self._views().run()
 
-    async def lead(self, term: Term) -> None:
+    async def run_while_leading(self, term: Term) -> None:
         """Take up what the last leader saved, then save in turn. Cut off anywhere, the last whole saving stays."""
         from pepperlatch.console.saving import Saving
 
@@ -102,11 +104,11 @@
         saving = Saving(self._core, leader, recorder)
         await saving.restore()
         while not term.over:
-            until = self._core.clock() + c.SAVE_EVERY_S
+            until = self._core.clock() + c.SAVE_INTERVAL_S
             while self._core.clock() < until and not term.over:
-                await trio.sleep(c.MONEY_EVERY_S)
+                await trio.sleep(c.SPENDING_INTERVAL_S)
                 recorder.money.sample(leader.cluster.machines.values(), self._core.clock())
             try:
                 await saving.save()
-            except (Away, Unsure) as error:
+            except (NotExecuted, OutcomeUnknown) as error:
                 log.debug("time lines are saved later: %s", error)
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -21,12 +21,12 @@
 from pepperlatch.console.model import Gone, Model, of_record
 from pepperlatch.console.recorder import Recorder
 from pepperlatch.constants import console as c
-from pepperlatch.controller.parts import Core
+from pepperlatch.controller.extensions import ExtensionContext
 from pepperlatch.policy.reasons import changes_when
 from pepperlatch.protocol import wire
-from pepperlatch.protocol.budget import Budget
-from pepperlatch.protocol.http.client import Lost, NotSent
+from pepperlatch.protocol.http.client import NotSent, NoUsableResponse
 from pepperlatch.protocol.http.server import Request, Response, compressed
+from pepperlatch.protocol.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
     from pepperlatch.controller.leader import Leader
@@ -52,10 +52,10 @@
 class Views:
     """What this node shows. `spent` is the processor time used so far, in s."""
 
-    def __init__(self, core: Core, spent: Callable[[], float]) -> None:
+    def __init__(self, core: ExtensionContext, spent: Callable[[], float]) -> None:
         self._core = core
         self._spent = spent
-        self._budget = Budget(
+        self._budget = TokenBucket(
             c.LEADER_SHARE * core.settings.params.limits.cpu_share, c.LEADER_BURST_S, float("inf"), core.clock()
         )  # fmt: skip
         self._model: Model | None = None
@@ -74,20 +74,20 @@
         """While somebody looks, take in what is much a part at a time; without a viewer keep no rows."""
         while True:
             model, now = self._leading(), self._core.clock()
-            if model is None or now - self._asked_at > c.IDLE_S:
+            if model is None or now - self._asked_at > c.VIEW_IDLE_TIMEOUT_S:
                 if self._model is not None and self._model.rows:
                     self._model.forget()
                     self._kept.clear()
-                await trio.sleep(c.REFRESH_S)
+                await trio.sleep(c.MIN_REFRESH_INTERVAL_S)
                 continue
             enough = self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2  # answers go first
-            if model.pending() and enough and not model.leader.owner.long():
+            if model.pending() and enough and not model.leader.command_loop.is_backlogged():
                 with self._charged(now):
                     model.refresh()
-            await trio.sleep(c.ROWS_PAUSE_S)
+            await trio.sleep(c.ROW_BATCH_PAUSE_S)
 
     def _leading(self) -> Model | None:
-        model, leader = self._model, self._core.leading()
+        model, leader = self._model, self._core.current_leader()
         if model is None or leader is None or model.leader is not leader or leader.term.over or not leader.ready:
             return None
         return model
@@ -99,20 +99,20 @@
         key = f"{path}?{text}"
         kept = self._kept.get(key)
         whole = path == f"{BASE}/jobs" and kept is not None and not kept.answer["pending"]
-        keep_s = c.PAGE_KEPT_S if whole else c.REFRESH_S
+        keep_s = c.PAGE_CACHE_S if whole else c.MIN_REFRESH_INTERVAL_S
         if kept is not None and now - kept.made_at < keep_s and kept.token == model.leader.term.token:
             return kept
-        if self._budget.available(now) <= 0 or model.leader.owner.long():
-            if kept is not None and now - kept.made_at < c.AGE_MOST_S:
+        if self._budget.available(now) <= 0 or model.leader.command_loop.is_backlogged():
+            if kept is not None and now - kept.made_at < c.MAX_ANSWER_AGE_S:
                 older = {**kept.answer, "age_s": round(now - kept.made_at, 1), "busy": True}
                 return _Kept(kept.made_at, kept.token, older)
             raise Busy
         with self._charged(now):
-            if now - self._refreshed_at >= c.REFRESH_S:
+            if now - self._refreshed_at >= c.MIN_REFRESH_INTERVAL_S:
                 self._refreshed_at = now
-                model.refresh(c.ROWS_AN_ANSWER)
+                model.refresh(c.ROWS_PER_ANSWER)
             made = _Kept(now, model.leader.term.token, {**self._head(model), **self._body(model, path, text)})
-        self._kept = {k: kept for k, kept in self._kept.items() if now - kept.made_at < c.AGE_MOST_S}
+        self._kept = {k: kept for k, kept in self._kept.items() if now - kept.made_at < c.MAX_ANSWER_AGE_S}
         self._kept[key] = made
         return made
 
@@ -123,7 +123,7 @@
         try:
             yield
         finally:
-            self._budget.wait_for(now, self._spent() - began)
+            self._budget.take(now, self._spent() - began)
 
     def _sent(self, kept: "_Kept", gzip: bool) -> Response:
         """Encoded once for all who ask alike."""
@@ -182,7 +182,7 @@
     # --- asked ----------------------------------------------------------------------------------------
 
     async def handle(self, request: Request) -> Response:
-        """Answers at once or within `PASS_ON_S`; nothing is left behind when it is cancelled."""
+        """Answers at once or within `VIEW_FORWARD_TIMEOUT_S`; nothing is left behind when it is cancelled."""
         return await self._handle(request, lambda kept: self._sent(kept, request.gzip))
 
     async def plain(self, request: Request) -> Response:
@@ -213,42 +213,44 @@
 
     async def _passed_on(self, path: str, text: str) -> Response:
         """The leader's answer; if there is none, what this node knows itself, and how old that is."""
-        held = self._core.watched.replica.leader
+        held = self._core.watcher.replica.leader
         peer = next((p for p in self._core.settings.peers if held is not None and p.node == held[0]), None)
         why = "nobody leads"
         if peer is not None:
             asked = f"{path}?{text}&{DIRECT}=1" if text else f"{path}?{DIRECT}=1"
             try:
-                status, answer = await self._core.network.request(peer.addr, "GET", asked, None, c.PASS_ON_S)
+                status, answer = await self._core.network.request(
+                    peer.addr, "GET", asked, None, c.VIEW_FORWARD_TIMEOUT_S
+                )
                 if status != 409 and isinstance(answer, dict):
                     if status == 200:
                         answer["node"] = self._core.settings.node
                     after = {"Retry-After": str(c.BUSY_RETRY_S)} if status == 503 else {}
                     return Response(status, answer, after)
-            except (NotSent, Lost):
+            except (NotSent, NoUsableResponse):
                 pass
             why = f"{peer.node}, which leads, does not answer this node"
         return self._of_records(path, text, why)
 
     def _of_records(self, path: str, text: str, why: str) -> Response:
         """Jobs as the records say, with what the leader last told of them."""
-        core, replica = self._core, self._core.watched.replica
+        core, replica = self._core, self._core.watcher.replica
         if path not in (f"{BASE}/jobs", f"{BASE}/overview"):
             return Response(503, {"error": f"only the leader knows that, and {why}"}, {"Retry-After": "2"})
-        told, wall = core.told(), core.wall()
+        told, wall = core.leader_snapshot(), core.wall()
         found = [
             of_record(job_id, entry, replica, wall, told=told.progress(job_id))
-            for job_id, entry in replica.jobs.items() if entry.state not in wire.FINAL
+            for job_id, entry in replica.jobs.items() if entry.state not in wire.FINAL_JOB_STATES
         ]  # fmt: skip
         made = [row for row in found if row is not None]
         held = replica.leader
         now = core.clock()
-        old = now - max(replica.current_at, min(told.at, now)) if replica.current_at > float("-inf") else None
+        old = now - max(replica.current_at, min(told.requested_at, now)) if replica.current_at > float("-inf") else None
         head = {
             "node": core.settings.node, "version": __version__, "leader": held[0] if held else None,
             "token": held[1] if held else None, "revision": 0, "at": round(wall, 1),
             "age_s": round(old, 1) if old is not None else None,
-            "told_s": round(now - told.at, 1) if told.at > float("-inf") else None,
+            "told_s": round(now - told.requested_at, 1) if told.requested_at > float("-inf") else None,
             "source": "records", "why": why,
         }  # fmt: skip
         if path == f"{BASE}/overview":
--- a/pepperlatch/controller/admin.py
+++ b/pepperlatch/controller/admin.py
@@ -1,4 +1,4 @@
-"""What the controllers say to each other, and the administration API. On the controllers' own listener only."""
+"""The administration API: the view of the cluster, and the operators' settings. On the internal listener only."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,85 +8,91 @@
 
 from pepperlatch.constants import core as c
 from pepperlatch.controller import store
-from pepperlatch.controller.store import Watched
-from pepperlatch.policy.tuning import KNOBS, BadValue, Tuning, checked
+from pepperlatch.controller.store import StateWatcher
+from pepperlatch.policy.operator_settings import OPERATOR_SETTINGS, InvalidSetting, OperatorSettings, validated
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
-from pepperlatch.protocol.state import Away, StateClient, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown, StateClient
 
 SETTINGS, VIEW = "/admin/settings", "/admin/view"
 
 
-def _away(request: Request) -> Response:
-    """A change that was sent may still be carried out; the version tells."""
+def _unavailable(request: Request) -> Response:
+    """503 for an unreachable state service. A change that was sent may still be applied; the version shows it."""
     error = "the state service does not answer"
     if request.method != "GET":
         error += "; whether the change was made, `settings` will tell"
     return Response(503, {"error": error}, {"Retry-After": str(c.RETRY_AFTER_S)})
 
 
-class Admin:
-    def __init__(self, watched: Watched, state: StateClient, view: Callable[[], dict[str, Any]]) -> None:
-        self._watched = watched
+class AdminApi:
+    """Serves `/admin/`. Settings are stored in the state service, so any node may change them."""
+
+    def __init__(self, watcher: StateWatcher, state: StateClient, view: Callable[[], dict[str, Any]]) -> None:
+        self._watcher = watcher
         self._state = state
         self._view = view
 
     async def handle(self, request: Request) -> Response:
-        """Answers at a deadline: an operator who looks into an outage must not wait for its end."""
-        with trio.move_on_after(c.SUBMIT_WAIT_S):
+        """Answer within SUBMIT_TIMEOUT_S: an operator who examines an outage must not wait for its end."""
+        with trio.move_on_after(c.SUBMIT_TIMEOUT_S):
             return await self._answer(request)
-        return _away(request)
+        return _unavailable(request)
 
     async def _answer(self, request: Request) -> Response:
         try:
             if request.path == VIEW and request.method == "GET":
                 return Response(200, self._view())
             if request.path == SETTINGS and request.method == "GET":
-                await self._watched.sync()
+                await self._watcher.sync()
                 return Response(200, self._describe())
             if request.path == SETTINGS and request.method == "PUT":
                 return await self._change(request.body)
-        except (Away, Unsure):
-            return _away(request)
+        except (NotExecuted, OutcomeUnknown):
+            return _unavailable(request)
         return Response(404, {"error": "no such path"})
 
     def _describe(self) -> dict[str, Any]:
-        stored, version = self._watched.replica.tuning
-        now = Tuning(stored).values()
+        """All settings in force with default, bounds, unit and reason, and the version that a change has to name."""
+        stored, version = self._watcher.replica.tuning
+        current = OperatorSettings(stored).values()
         fields = {
             name: {
-                "value": now[name],
-                "default": k.default,
-                "low": k.low,
-                "high": k.high,
-                "unit": k.unit,
-                "reason": k.reason,
+                "value": current[name],
+                "default": setting.default,
+                "low": setting.minimum,
+                "high": setting.maximum,
+                "unit": setting.unit,
+                "reason": setting.reason,
             }
-            for name, k in KNOBS.items()
+            for name, setting in OPERATOR_SETTINGS.items()
         }
         return {"version": version, "settings": fields}
 
     async def _change(self, body: bytes) -> Response:
-        """`{"version": 7, "settings": {"idle_s": 60}}`; fields left out keep their value."""
+        """Change settings: `{"version": 7, "settings": {"idle_s": 60}}`. Settings left out keep their values.
+
+        400 if malformed or out of bounds, 409 if the version is not the current one.
+        """
         try:
-            wanted = orjson.loads(body)
-            version, changes = wanted["version"], wanted["settings"]
+            message = orjson.loads(body)
+            version, changes = message["version"], message["settings"]
             if isinstance(version, bool) or not isinstance(version, int) or not isinstance(changes, dict):
                 raise TypeError
         except (orjson.JSONDecodeError, KeyError, TypeError):
             return Response(400, {"error": "wanted: an object with version (integer) and settings (object)"})
         try:
-            values = {name: checked(name, value) for name, value in changes.items()}
-        except BadValue as error:
+            values = {name: validated(name, value) for name, value in changes.items()}
+        except InvalidSetting as error:
             return Response(400, {"error": str(error), "field": str(error).partition(":")[0]})
-        await self._watched.sync()
-        stored, current = self._watched.replica.tuning
+        await self._watcher.sync()
+        stored, current = self._watcher.replica.tuning
         if version != current:
             return Response(409, {"error": "stale version", "version": current})
         outcome = await self._state.txn(
-            [wire.when(store.TUNING, current)], [wire.put(store.TUNING, {**stored, **values})]
+            [wire.version_condition(store.TUNING, current)], [wire.put(store.TUNING, {**stored, **values})]
         )
         if not outcome.applied:
             return Response(409, {"error": "stale version"})
-        await self._watched.sync()
+        await self._watcher.sync()
         return Response(200, self._describe())
--- a/pepperlatch/pipelines/part.py
+++ b/pepperlatch/pipelines/part.py
@@ -10,32 +10,32 @@
 
 from pepperlatch import features
 from pepperlatch.constants import pipelines as c
+from pepperlatch.controller.extensions import Extension, ExtensionContext
 from pepperlatch.controller.leadership import Term
-from pepperlatch.controller.parts import Core, Part
-from pepperlatch.controller.users import later
+from pepperlatch.controller.users import retry_later
 from pepperlatch.pipelines import keys
 from pepperlatch.protocol.http.server import Request, Response
-from pepperlatch.protocol.state import Away, Unsure
+from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown
 
 if TYPE_CHECKING:
     from pepperlatch.pipelines.service import Service
 
 
-class Pipelines(Part):
+class Pipelines(Extension):
     name = "pipelines"
     prefix = keys.PREFIX
     paths: Sequence[str] = ("/pipelines", "/schedules")
 
-    def __init__(self, core: Core, wanted: features.Pipelines) -> None:
+    def __init__(self, core: ExtensionContext, wanted: features.Pipelines) -> None:
         self._core = core
         self._wanted = wanted
         self._made: Service | None = None
         self._nursery: trio.Nursery | None = None
 
     def _service(self) -> "Service":
-        """Raises Away while the part is between two lives."""
+        """Raises NotExecuted while the part is between two lives."""
         if self._nursery is None:
-            raise Away("pipelines are being started")
+            raise NotExecuted("pipelines are being started")
         if self._made is None:
             from pepperlatch.pipelines.service import Service
 
@@ -44,12 +44,12 @@
 
     async def handle(self, request: Request) -> Response:
         """Answers at a deadline; what was recorded by then goes on, and the same request again tells how it stands."""
-        with trio.move_on_after(c.ANSWER_S):
+        with trio.move_on_after(c.RUN_ANSWER_TIMEOUT_S):
             try:
                 return await self._service().handle(request)
-            except (Away, Unsure):
+            except (NotExecuted, OutcomeUnknown):
                 pass
-        return later()
+        return retry_later()
 
     async def run(self) -> None:
         """Holds what is brought on in the background; whatever ends it leaves runs that anyone can take up."""
@@ -59,7 +59,7 @@
         finally:
             self._nursery = self._made = None
 
-    async def lead(self, term: Term) -> None:
+    async def run_while_leading(self, term: Term) -> None:
         """Take up runs that lie still (their node died, or was cut off, before it was through), and run what is due."""
         lying: set[str] = set()
         while not term.over:
@@ -70,6 +70,6 @@
                     self._service().take_up(found & lying)
                     await self._service().run_due(pairs)
                 lying = found
-            except (Away, Unsure):
+            except (NotExecuted, OutcomeUnknown):
                 pass
-            await trio.sleep(c.LOOK_EVERY_S)
+            await trio.sleep(c.RUN_SCAN_INTERVAL_S)
--- a/pepperlatch/pipelines/runs.py
+++ b/pepperlatch/pipelines/runs.py
@@ -20,7 +20,7 @@
 from pepperlatch.controller import store
 from pepperlatch.pipelines.keys import OPEN, PIECE, RUN
 from pepperlatch.protocol import wire
-from pepperlatch.settings import State
+from pepperlatch.settings import StateLimits
 
 
 class Phase(str, Enum):
@@ -58,29 +58,29 @@
 
 def record(address: str, digest: str, packed: str, at: float, value_kb: float) -> Change:
     """Write a run down, with all that it takes to go on by anybody."""
-    size = int(value_kb * 1024) - core.RECORD_BYTES
-    pieces = store.cut(packed, size) if len(packed) > size else []
+    size = int(value_kb * 1024) - core.JOB_RECORD_OVERHEAD_BYTES
+    pieces = store.split_text(packed, size) if len(packed) > size else []
     run = RunRecord(Phase.OPEN, digest, at, "" if pieces else packed, len(pieces))
     writes = [put_run(address, run), wire.put(OPEN + address, {})]
     writes += [wire.put(f"{PIECE}{address}/{n}", {"text": text}) for n, text in enumerate(pieces)]
-    return Change([wire.when(RUN + address, 0)], writes, [])
+    return Change([wire.version_condition(RUN + address, 0)], writes, [])
 
 
 def create(
-    address: str, version: int, missing: Collection[wire.JobSpec], at: float, limits: State, most: int
+    address: str, version: int, missing: Collection[wire.JobSpec], at: float, limits: StateLimits, most: int
 ) -> Change:
     """The next jobs of a run, at least one, at most so many changes; the rest stays for the next time."""
-    when = [wire.when(RUN + address, version)]
+    when = [wire.version_condition(RUN + address, version)]
     writes: list[dict[str, Any]] = []
     ids: list[str] = []
     size = 0
     for spec in missing:
-        parts = store.parts_of(spec, limits.value_kb)
-        changes = store.created(spec, parts, at, address)
+        parts = store.description_parts(spec, limits.value_kb)
+        changes = store.creation_changes(spec, parts, at, address)
         size += sum(len(orjson.dumps(change)) for change in changes)
-        if ids and (len(writes) + len(changes) > min(most, limits.txn_ops) or size > core.TXN_BYTES):
+        if ids and (len(writes) + len(changes) > min(most, limits.txn_ops) or size > core.MAX_TXN_BYTES):
             break
-        when.append(wire.when(store.JOB + spec.id, 0))
+        when.append(wire.version_condition(store.JOB + spec.id, 0))
         writes += changes
         ids.append(spec.id)
     return Change(when, writes, ids)
@@ -88,9 +88,9 @@
 
 def moved(address: str, run: RunRecord, version: int, phase: Phase, reason: str = "") -> Change:
     """To another phase; what has something left to do is kept where the leader looks."""
-    after = msgspec.structs.replace(run, phase=phase, reason=reason[: c.REASON_CHARS] or run.reason)
+    after = msgspec.structs.replace(run, phase=phase, reason=reason[: c.MAX_REASON_CHARS] or run.reason)
     mark = wire.put(OPEN + address, {}) if phase in PENDING else wire.delete(OPEN + address)
-    return Change([wire.when(RUN + address, version)], [put_run(address, after), mark], [])
+    return Change([wire.version_condition(RUN + address, version)], [put_run(address, after), mark], [])
 
 
 def put_run(address: str, run: RunRecord) -> dict[str, Any]:
--- a/pepperlatch/pipelines/scheduler.py
+++ b/pepperlatch/pipelines/scheduler.py
@@ -12,8 +12,8 @@
 import orjson
 
 from pepperlatch.constants import pipelines as c
-from pepperlatch.controller.parts import Core
-from pepperlatch.controller.users import later
+from pepperlatch.controller.extensions import ExtensionContext
+from pepperlatch.controller.users import retry_later
 from pepperlatch.pipelines import keys, runs, schedules
 from pepperlatch.pipelines import plan as plans
 from pepperlatch.pipelines.plan import BadPlan, Plan
@@ -33,7 +33,7 @@
 
 
 class Scheduler:
-    def __init__(self, service: "Service", core: Core) -> None:
+    def __init__(self, service: "Service", core: ExtensionContext) -> None:
         self._service = service
         self._state = core.state
         self._wall = core.wall
@@ -57,7 +57,7 @@
             return Response(200, self._row(name, record))
         if (method, verb) == ("DELETE", ""):
             outcome = await self._service.commit(schedules.removed(name, version, record))
-            return Response(200, {"schedule": name, "removed": True}) if outcome.applied else later()
+            return Response(200, {"schedule": name, "removed": True}) if outcome.applied else retry_later()
         if method == "POST" and verb in ("pause", "resume"):
             return await self._pause(name, record, version, verb == "pause")
         return Response(404, {"error": "no such path"})
@@ -65,7 +65,7 @@
     async def _list(self) -> Response:
         _, pairs = await self._state.read_all(keys.CRON)
         rows = [self._row(pair.key[len(keys.CRON) :], wire.convert(pair.value, ScheduleRecord)) for pair in pairs]
-        return Response(200, {"schedules": rows[: c.STEPS_PAGE], "total": len(rows)})
+        return Response(200, {"schedules": rows[: c.STEPS_PER_PAGE], "total": len(rows)})
 
     def _row(self, name: str, record: ScheduleRecord) -> dict[str, Any]:
         after = max(record.after, self._wall()) if record.missed == "skip" else record.after
@@ -100,7 +100,7 @@
         pieces = held.pieces if held is not None else 0
         await self._service.room(1)
         outcome = await self._service.commit(schedules.kept(name, version, record, packed, pieces, self._value_kb))
-        return Response(200, self._row(name, record)) if outcome.applied else later()
+        return Response(200, self._row(name, record)) if outcome.applied else retry_later()
 
     async def _pause(self, name: str, record: ScheduleRecord, version: int, paused: bool) -> Response:
         """What would have been due while it was paused is not run afterwards."""
@@ -109,7 +109,7 @@
             record = msgspec.structs.replace(record, paused=paused, after=after)
             outcome = await self._service.commit(schedules.moved(name, version, record))
             if not outcome.applied:
-                return later()
+                return retry_later()
         return Response(200, self._row(name, record))
 
     async def _read(self, name: str) -> tuple[ScheduleRecord, int] | None:
@@ -119,7 +119,10 @@
     # --- what is due ------------------------------------------------------------------------------
 
     async def run_due(self, marks: Sequence[wire.KeyValue]) -> None:
-        """The leader's; Away or Unsure if the state service does not answer: the next look goes on from there."""
+        """The leader's.
+
+        Raises NotExecuted or OutcomeUnknown if the state service does not answer: the next look goes on from there.
+        """
         for pair in marks:
             if pair.key.startswith(keys.CRON):
                 record = wire.convert(pair.value, ScheduleRecord)
--- a/pepperlatch/pipelines/service.py
+++ b/pepperlatch/pipelines/service.py
@@ -19,8 +19,8 @@
 from pepperlatch.constants import core
 from pepperlatch.constants import pipelines as c
 from pepperlatch.controller import store
-from pepperlatch.controller.parts import Core
-from pepperlatch.controller.users import Impossible, Malformed, later
+from pepperlatch.controller.extensions import ExtensionContext
+from pepperlatch.controller.users import Malformed, Unsatisfiable, retry_later
 from pepperlatch.pipelines import keys, runs
 from pepperlatch.pipelines import plan as plans
 from pepperlatch.pipelines.plan import BadPlan, Plan
@@ -28,7 +28,7 @@
 from pepperlatch.pipelines.scheduler import Scheduler
 from pepperlatch.protocol import wire
 from pepperlatch.protocol.http.server import Request, Response
-from pepperlatch.protocol.state import Away, Outcome, Refused, Unsure
+from pepperlatch.protocol.state import NotExecuted, Outcome, OutcomeUnknown, Rejected
 
 log = logging.getLogger(__name__)
 ROOT, SCHEDULES = "/pipelines/", "/schedules"
@@ -56,7 +56,7 @@
 class Service:
     """Lives as long as `nursery`, in which runs are brought on."""
 
-    def __init__(self, core: Core, wanted: features.Pipelines, nursery: trio.Nursery) -> None:
+    def __init__(self, core: ExtensionContext, wanted: features.Pipelines, nursery: trio.Nursery) -> None:
         self._core = core
         self._state = core.state
         self._limits = core.settings.params.state
@@ -64,7 +64,7 @@
         self._nursery = nursery
         self._driven: dict[str, trio.Event] = {}
         self._turn = trio.Lock()  # its queue is first come, first served: runs get their batches in turn
-        self._reads = trio.CapacityLimiter(c.READS_AT_ONCE)
+        self._reads = trio.CapacityLimiter(c.MAX_CONCURRENT_RUN_READS)
         self._schedules = Scheduler(self, core)
         self._plans: OrderedDict[tuple[str, str], tuple[Plan, dict[str, wire.JobSpec]]] = OrderedDict()
 
@@ -86,7 +86,7 @@
             return await self._schedules.handle(request.method, unquote(path[len(SCHEDULES) + 1 :]), request.body)
         address, _, verb = unquote(path[len(ROOT) :]).partition("/")
         if not address and request.method == "GET":
-            return Response(200, {"repeats": self._repeats, "steps": c.STEPS, "packed": c.PACKED_CHARS})
+            return Response(200, {"repeats": self._repeats, "steps": c.MAX_STEPS, "packed": c.MAX_PACKED_PLAN_CHARS})
         if address and (request.method, verb) == ("PUT", ""):
             return await self._put(address, request.body)
         if address and (request.method, verb) == ("GET", ""):
@@ -109,7 +109,7 @@
         wrong = plans.problems(plan, self._repeats)
         if not wrong and plan.address == address:
             return None
-        listed = [{"place": plans.where(p.path), "error": p.text} for p in wrong[: c.ERRORS_SHOWN]]
+        listed = [{"place": plans.where(p.path), "error": p.text} for p in wrong[: c.MAX_ERRORS_SHOWN]]
         if not wrong:
             listed = [{"place": "name", "error": f"the plan is that of {plan.address!r}, not of {address!r}"}]
         return Response(400, {"error": "the plan cannot be run", "problems": listed})
@@ -131,7 +131,7 @@
             await self.commit(change)
             held = await self._read(plan.address)
             if held is None:
-                return later()
+                return retry_later()
             log.info("run %s: %d steps", plan.address, len(plan.steps))
         if held.run.digest != digest:
             differs = plans.differences(held.plan, plan)
@@ -141,7 +141,7 @@
     def too_large(self, packed: str) -> Response | None:
         """With room for the record of a schedule that is moved in the same transaction."""
         changes = runs.changes_of(packed, self._limits.value_kb) + 1
-        if len(packed) <= c.PACKED_CHARS and changes <= self._limits.txn_ops:
+        if len(packed) <= c.MAX_PACKED_PLAN_CHARS and changes <= self._limits.txn_ops:
             return None
         return Response(400, {"error": "the plan is larger than what is recorded at once"})
 
@@ -150,12 +150,12 @@
         found: list[dict[str, Any]] = []
         named = plans.specs(plan)
         for number, step in enumerate(plan.steps):
-            if number % c.CHECKS_AT_ONCE == 0:
+            if number % c.CHECKS_PER_BATCH == 0:
                 await trio.sleep(0)
             spec = named[step.name]
             wrong = self._wrong(spec)
             if wrong is None and step.jobs:
-                need = await self._core.users.wrong_need(msgspec.structs.replace(spec, needs=step.jobs))
+                need = await self._core.users.find_invalid_dependency(msgspec.structs.replace(spec, needs=step.jobs))
                 wrong = (422, need) if need is not None else None
             if wrong is not None:
                 place = f"steps[{number}]"
@@ -163,16 +163,19 @@
         if not found:
             return None
         status = min(problem["status"] for problem in found)
-        return Response(status, {"error": "refused whole, nothing was sent", "problems": found[: c.ERRORS_SHOWN]})
+        return Response(status, {"error": "refused whole, nothing was sent", "problems": found[: c.MAX_ERRORS_SHOWN]})
 
     def _wrong(self, spec: wire.JobSpec) -> tuple[int, str] | None:
-        """What POST /work would refuse it with; Away if this node cannot tell yet. The one check for both paths."""
+        """What POST /work would refuse it with; NotExecuted if this node cannot tell yet.
+
+        The one check for both paths.
+        """
         try:
             if self._core.users.check(wire.to_plain(spec)) is None:
-                raise Away("the machine types are not known yet")
+                raise NotExecuted("the machine types are not known yet")
         except Malformed as error:
             return 400, str(error)
-        except Impossible as error:
+        except Unsatisfiable as error:
             return 422, str(error)
         return None
 
@@ -180,7 +183,7 @@
         """The answer once all its jobs are there or all are withdrawn; 202 if that takes longer."""
         if held.run.phase in runs.PENDING:
             ended = self.drive(held.address)
-            with trio.move_on_after(core.SUBMIT_WAIT_S):
+            with trio.move_on_after(core.SUBMIT_TIMEOUT_S):
                 await ended.wait()
                 held = await self._read(held.address) or held
         answer = {"run": held.address, "phase": held.run.phase.value, "steps": len(held.specs)}
@@ -194,22 +197,22 @@
         held = await self._read(address)
         if held is None:
             return Response(404, {"error": "no such run"})
-        await self._core.watched.sync()
+        await self._core.watcher.sync()
         names = list(held.specs)
         begin = int(after) if after.isdigit() else 0
-        rows = [self._row(held, name) for name in names[begin : begin + c.STEPS_PAGE]]
+        rows = [self._row(held, name) for name in names[begin : begin + c.STEPS_PER_PAGE]]
         answer: dict[str, Any] = {"run": address, "status": self._status(held), "phase": held.run.phase.value}
         if held.run.reason:
             answer["reason"] = held.run.reason
         answer["total"] = len(names)
         answer["rows"] = rows
-        if begin + c.STEPS_PAGE < len(names):
-            answer["next"] = begin + c.STEPS_PAGE
+        if begin + c.STEPS_PER_PAGE < len(names):
+            answer["next"] = begin + c.STEPS_PER_PAGE
         return Response(200, answer)
 
     def _row(self, held: Held, name: str) -> dict[str, Any]:
         spec = held.specs[name]
-        entry = self._core.watched.replica.jobs.get(spec.id)
+        entry = self._core.watcher.replica.jobs.get(spec.id)
         if entry is None:
             return {"step": name, wire.ID_FIELD: spec.id, "status": "not sent", "tasks": spec.tasks}
         return {"step": name, "tasks": spec.tasks, **self._core.users.describe(spec.id, entry)}
@@ -218,7 +221,7 @@
         """One word for the whole: the phase while it is not sent, else what its jobs say together."""
         if held.run.phase is not Phase.SENT:
             return str(held.run.phase.value)
-        jobs = self._core.watched.replica.jobs
+        jobs = self._core.watcher.replica.jobs
         states = [jobs[spec.id].state for spec in held.specs.values() if spec.id in jobs]
         if any(state is wire.JobState.CANCELLED for state in states):
             return str(wire.JobState.CANCELLED.value)
@@ -232,7 +235,7 @@
         if held.run.phase in (Phase.OPEN, Phase.SENT):
             outcome = await self.commit(runs.moved(address, held.run, held.version, Phase.CANCELLING))
             if not outcome.applied:
-                return later()
+                return retry_later()
             held = await self._read(address) or held
         answer = await self._settled(held)
         return Response(200, answer.body) if answer.status == 422 else answer
@@ -251,10 +254,10 @@
             said = [f"no step is called {name!r}{plans.meant(name, held.specs)}" for name in unknown]
             return Response(400, {"error": "; ".join(said) or "no step is named"})
         plan = plans.redone(held.plan, first)
-        await self._core.watched.sync()
+        await self._core.watcher.sync()
         wrong = [] if await self._read(plan.address) else self._not_again(held, plan)
         if wrong:
-            return Response(409, {"error": "cannot be run again so", "problems": wrong[: c.ERRORS_SHOWN]})
+            return Response(409, {"error": "cannot be run again so", "problems": wrong[: c.MAX_ERRORS_SHOWN]})
         return await self._begin(plan)
 
     def _not_again(self, held: Held, plan: Plan) -> list[dict[str, str]]:
@@ -263,11 +266,11 @@
         found = []
         for step in plan.steps:
             spec = held.specs[step.name]
-            entry = self._core.watched.replica.jobs.get(spec.id)
+            entry = self._core.watcher.replica.jobs.get(spec.id)
             state = entry.state if entry is not None else wire.JobState.CANCELLED
             if step.attempt < plan.attempt:
                 wrong = "is withdrawn; run it again too" if state is wire.JobState.CANCELLED else ""
-            elif state not in wire.FINAL:
+            elif state not in wire.FINAL_JOB_STATES:
                 wrong = "is not over yet; cancel it first"
             elif state is wire.JobState.DONE and spec.job_class not in self._repeats:
                 wrong = f"is done, and the operators let no job of class {spec.job_class!r} repeat"
@@ -280,9 +283,9 @@
     # --- reading ----------------------------------------------------------------------------------
 
     async def _read(self, address: str) -> Held | None:
-        """Linearizable. Away if too many wait already: polls of runs must not crowd out those of jobs."""
-        if self._reads.statistics().tasks_waiting >= c.READS_WAITING:
-            raise Away("too many look at runs")
+        """Linearizable. NotExecuted if too many wait already: polls of runs must not crowd out those of jobs."""
+        if self._reads.statistics().tasks_waiting >= c.MAX_WAITING_RUN_READS:
+            raise NotExecuted("too many look at runs")
         async with self._reads:
             pair = await self._state.read(keys.RUN + address) if plans.ADDRESS.fullmatch(address) else None
             if pair is None:
@@ -296,7 +299,7 @@
         if known is None:
             plan = plans.unpack(run.plan or await self.joined(keys.PIECE + address, run.pieces))
             known = self._plans[(address, run.digest)] = (plan, plans.specs(plan))
-            if len(self._plans) > c.PLANS_KEPT:
+            if len(self._plans) > c.MAX_CACHED_PLANS:
                 self._plans.popitem(last=False)
         return known
 
@@ -332,20 +335,20 @@
         while True:
             try:
                 return await do(what)
-            except Refused:
+            except Rejected:
                 raise
-            except (Away, Unsure):
+            except (NotExecuted, OutcomeUnknown):
                 await trio.sleep(core.STATE_RETRY_S)
 
     async def _send(self, held: Held) -> None:
         """Create what is missing, then call it sent. Returns early if somebody else moved the run."""
-        await self._core.watched.sync()
+        await self._core.watcher.sync()
         present: set[str] = set()
         while True:
             async with self._turn:
                 # What is missing is looked at last: another node may have brought the run on while this one waited.
-                await self.room(self._state.later_most())
-                present |= {spec.id for spec in held.specs.values() if spec.id in self._core.watched.replica.jobs}
+                await self.room(self._state.max_background_changes())
+                present |= {spec.id for spec in held.specs.values() if spec.id in self._core.watcher.replica.jobs}
                 missing = [spec for spec in held.specs.values() if spec.id not in present]
                 if not missing:
                     break
@@ -355,42 +358,42 @@
             there = _jobs_of(outcome)
             present.update(there)
             if len(there) > 1 and outcome.failed:
-                await trio.sleep(c.YIELD_S)  # another node is at it: let it, but do not rely on it
+                await trio.sleep(c.OTHER_CREATOR_WAIT_S)  # another node is at it: let it, but do not rely on it
                 return
         await self.commit(runs.moved(held.address, held.run, held.version, Phase.SENT))
 
     async def _send_some(self, held: Held, missing: list[wire.JobSpec]) -> Outcome | None:
         """The next batch; None if the run was refused instead, by the check of POST /work or by the state service."""
-        most = self._state.later_most()
+        most = self._state.max_background_changes()
         change = runs.create(held.address, held.version, missing, held.run.at, self._limits, most)
         wrong = next(((spec, why) for spec in missing[: len(change.ids)] if (why := self._wrong(spec))), None)
         reason = f"{wrong[0].id}: {wrong[1][1]}" if wrong is not None else ""
         if not reason:
             try:
                 return await self.commit(change)
-            except Refused as error:  # it never will be taken, so the run must not lie open for ever
+            except Rejected as error:  # it never will be taken, so the run must not lie open for ever
                 reason = str(error)
         await self.commit(runs.moved(held.address, held.run, held.version, Phase.REFUSING, reason))
         return None
 
     async def _withdraw(self, held: Held) -> None:
         """Cancel its jobs in order, those that need another go with it; a refused run takes only its own along."""
-        await self._core.watched.sync()
+        await self._core.watcher.sync()
         for spec in held.specs.values():
-            entry = self._core.watched.replica.jobs.get(spec.id)
-            if entry is None or entry.state in wire.FINAL:
+            entry = self._core.watcher.replica.jobs.get(spec.id)
+            if entry is None or entry.state in wire.FINAL_JOB_STATES:
                 continue
             if held.run.phase is Phase.REFUSING and entry.record.run != held.address:
                 continue
             if (await self._core.users.cancel(spec.id)).status != 200:
-                raise Away(f"{spec.id} cannot be cancelled now")
+                raise NotExecuted(f"{spec.id} cannot be cancelled now")
         await self.commit(runs.moved(held.address, held.run, held.version, runs.WITHDRAWN[held.run.phase]))
 
     async def room(self, changes: int) -> None:
         """Wait until the budget has more than those may need who submit single jobs."""
-        wanted = min(changes, self._state.later_most())
-        while self._state.writes_spare() < wanted:
-            await trio.sleep(c.ROOM_POLL_S)
+        wanted = min(changes, self._state.max_background_changes())
+        while self._state.spare_writes() < wanted:
+            await trio.sleep(c.BUDGET_POLL_S)
 
     async def commit(self, change: Change) -> Outcome:
         return await self._state.txn(change.when, change.writes)
--- a/pepperlatch/policy/zones.py
+++ b/pepperlatch/policy/zones.py
@@ -1,7 +1,8 @@
-"""What the leader makes of each zone, from how many of its machines fell silent and whether its controllers answer.
+"""The leader's estimate of each zone's state, from how many machines are silent and whether its controllers answer.
 
-A pure state machine over evidence; no I/O, no clock. It proves nothing: that a task of a lost zone is gone is proven as
-for any other (`docs/safety.md`). It decides what is worth doing while the zone is away (`docs/zones.md`).
+A state machine over observations; no I/O, no clock. It proves nothing: that a task of an unreachable zone is gone is
+proven as for any other (`docs/safety.md`). It decides what is worth doing while the zone is unreachable
+(`docs/zones.md`).
 """
 
 from dataclasses import dataclass, field
@@ -10,90 +11,112 @@
 from pepperlatch.constants import zones as c
 
 
-class State(Enum):
-    WHOLE = "whole"
+class ZoneState(Enum):
+    """The values appear in log lines and events."""
+
+    REACHABLE = "whole"
     DOUBTFUL = "doubtful"  # most machines are silent, but a controller there answers
-    CUT = "cut off"  # most machines are silent, and nobody there answers
-    BACK = "coming back"
+    PARTITIONED = "cut off"  # most machines are silent, and no controller there answers
+    RECOVERING = "coming back"
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """`answers`: whether a controller of the zone answers, ours included; None if it has none."""
+class ZoneObservation:
+    """What the leader sees of a zone at one time."""
 
-    up: int
-    silent: int
-    answers: bool | None
+    up: int  # machines that are up by the leader's records, silent ones included
+    silent: int  # those of them not heard of for long
+    controller_answers: bool | None  # whether a controller of the zone answers, this one included; None if it has none
 
-    def most(self) -> bool:
-        share = c.SILENT_SHARE_ALONE if self.answers is None else c.SILENT_SHARE
-        return self.up >= c.MACHINES_LEAST and self.silent >= share * self.up
+    def mostly_silent(self) -> bool:
+        """Whether so many machines are silent as do not die at once by themselves; False for a zone with few."""
+        share = c.CUT_SILENT_SHARE_WITHOUT_CONTROLLER if self.controller_answers is None else c.CUT_SILENT_SHARE
+        return self.up >= c.MIN_MACHINES and self.silent >= share * self.up
 
-    def few(self) -> bool:
-        return self.silent < c.BACK_SHARE * self.up
+    def mostly_reporting(self) -> bool:
+        """Whether few enough machines are silent for the zone to count as reachable again."""
+        return self.silent < c.RECOVERED_SILENT_SHARE * self.up
 
 
 @dataclass(slots=True)
 class Zone:
-    state: State = State.WHOLE
-    since: float = float("-inf")  # of this state
-    cut_at: float = float("-inf")  # since when it is, or was last, cut off
-    told_at: float = float("-inf")  # when a machine of ours there last told anything
-
-    def look(self, seen: Seen, now: float) -> bool:
-        """Take in what is seen; whether the state changed."""
-        if seen.up:
-            self.told_at = now
-        after = self._next(seen, now)
-        if after is self.state:
+    """The state of one zone; times are of the leader's steady clock, in seconds."""
+
+    state: ZoneState = ZoneState.REACHABLE
+    since: float = float("-inf")  # when this state began
+    partitioned_at: float = float("-inf")  # when the present or last partition began
+    last_up_at: float = float("-inf")  # when the zone was last observed with machines up
+
+    def observe(self, observation: ZoneObservation, now: float) -> bool:
+        """Take in an observation; returns whether the state changed."""
+        if observation.up:
+            self.last_up_at = now
+        next_state = self._next(observation, now)
+        if next_state is self.state:
             return False
-        if after is State.CUT and now - self.cut_at > c.KEEP_S:
-            self.cut_at = now  # one that flaps is one cut
-        self.state, self.since = after, now
+        if next_state is ZoneState.PARTITIONED and now - self.partitioned_at > c.CUT_KEEP_S:
+            self.partitioned_at = now  # a zone that flaps has one partition
+        self.state, self.since = next_state, now
         return True
 
-    def _next(self, seen: Seen, now: float) -> State:
-        if self.state is State.CUT:
-            return self._next_of_cut(seen, now)
-        if seen.most() and seen.answers is not True:
-            return State.CUT
-        if self.state is State.BACK:
-            return State.BACK if now - self.since < c.BACK_S else State.WHOLE
-        if seen.most() or (self.state is State.DOUBTFUL and not seen.few()):
-            return State.DOUBTFUL
-        return State.WHOLE
-
-    def _next_of_cut(self, seen: Seen, now: float) -> State:
-        if not seen.up:  # nothing of ours is there to tell: it is tried again after a while
-            return State.CUT if now - self.told_at < c.TRY_AGAIN_S else State.WHOLE
-        return State.BACK if seen.few() or (seen.answers is True and not seen.most()) else State.CUT
+    def _next(self, observation: ZoneObservation, now: float) -> ZoneState:
+        if self.state is ZoneState.PARTITIONED:
+            return self._next_when_partitioned(observation, now)
+        if observation.mostly_silent() and observation.controller_answers is not True:
+            return ZoneState.PARTITIONED
+        if self.state is ZoneState.RECOVERING:
+            return ZoneState.RECOVERING if now - self.since < c.RECOVERY_S else ZoneState.REACHABLE
+        if observation.mostly_silent() or (self.state is ZoneState.DOUBTFUL and not observation.mostly_reporting()):
+            return ZoneState.DOUBTFUL
+        return ZoneState.REACHABLE
+
+    def _next_when_partitioned(self, observation: ZoneObservation, now: float) -> ZoneState:
+        if not observation.up:  # no machine is left to observe: the zone is tried again after a while
+            return ZoneState.PARTITIONED if now - self.last_up_at < c.EMPTY_ZONE_RETRY_S else ZoneState.REACHABLE
+        return (
+            ZoneState.RECOVERING
+            if observation.mostly_reporting()
+            or (observation.controller_answers is True and not observation.mostly_silent())
+            else ZoneState.PARTITIONED
+        )
 
 
 @dataclass(slots=True)
-class Zones:
-    of: dict[str, Zone] = field(default_factory=dict)
+class ZoneTracker:
+    """The states of all zones observed in this term."""
+
+    by_name: dict[str, Zone] = field(default_factory=dict)
 
-    def look(self, name: str, seen: Seen, now: float) -> State | None:
-        """The zone's new state, if it changed."""
-        zone = self.of.setdefault(name, Zone())
-        return zone.state if zone.look(seen, now) else None
+    def observe(self, name: str, observation: ZoneObservation, now: float) -> ZoneState | None:
+        """Take in an observation; returns the zone's new state if it changed, else None."""
+        zone = self.by_name.setdefault(name, Zone())
+        return zone.state if zone.observe(observation, now) else None
 
-    def cut(self, name: str) -> bool:
-        zone = self.of.get(name)
-        return zone is not None and zone.state is State.CUT
+    def partitioned(self, name: str) -> bool:
+        zone = self.by_name.get(name)
+        return zone is not None and zone.state is ZoneState.PARTITIONED
 
-    def dark(self, now: float) -> set[str]:
-        """Where nothing is rented: it would cost and not report."""
+    def unreachable(self, now: float) -> set[str]:
+        """Zones where nothing is rented, since a machine there would cost and not report.
+
+        A doubtful zone is one after `DOUBTFUL_STOP_RENTING_S`.
+        """
         return {
-            name for name, zone in self.of.items()
-            if zone.state is State.CUT or (zone.state is State.DOUBTFUL and now - zone.since >= c.DOUBT_S)
+            name for name, zone in self.by_name.items()
+            if zone.state is ZoneState.PARTITIONED
+            or (zone.state is ZoneState.DOUBTFUL and now - zone.since >= c.DOUBTFUL_STOP_RENTING_S)
         }  # fmt: skip
 
-    def kept(self, name: str, now: float) -> bool:
-        """Whether its machines are kept, silent and idle as they are: most cuts end before others would be up."""
-        zone = self.of.get(name)
-        if zone is None or zone.state not in (State.CUT, State.BACK):
+    def keeps_machines(self, name: str, now: float) -> bool:
+        """Whether the zone's machines are kept although they are silent and idle.
+
+        Most partitions end before replacements would be up. Kept for `CUT_KEEP_S` of a partition, `RECOVERY_KEEP_S`
+        after it.
+        """
+        zone = self.by_name.get(name)
+        if zone is None or zone.state not in (ZoneState.PARTITIONED, ZoneState.RECOVERING):
             return False
-        if zone.state is State.BACK:  # one that died meanwhile must not hold up what waits for all to be accounted for
-            return now - zone.since < c.BACK_KEEP_S
-        return now - zone.cut_at < c.KEEP_S
+        if zone.state is ZoneState.RECOVERING:
+            # A machine that died meanwhile must not hold up what waits for all machines to be accounted for.
+            return now - zone.since < c.RECOVERY_KEEP_S
+        return now - zone.partitioned_at < c.CUT_KEEP_S
--- a/pepperlatch/scale/runner.py
+++ b/pepperlatch/scale/runner.py
@@ -17,7 +17,7 @@
 import trio
 
 from pepperlatch.constants import scale as c
-from pepperlatch.protocol.http.client import HttpNetwork, Lost, NotSent
+from pepperlatch.protocol.http.client import HttpNetwork, NotSent, NoUsableResponse
 from pepperlatch.scale import bounds, control, history, observer, results
 from pepperlatch.scale.addresses import Addresses, controller_name, free_ports
 from pepperlatch.scale.cloud import Fleet
@@ -126,10 +126,10 @@
             raise group.exceptions[0] from None
 
     async def _wait_until_healthy(self) -> None:
-        until = time.monotonic() + c.START_S
+        until = time.monotonic() + c.START_TIMEOUT_S
         while time.monotonic() < until:
             self._check_alive()
-            await trio.sleep(c.SAMPLE_S)
+            await trio.sleep(c.SAMPLE_INTERVAL_S)
             try:
                 users = await control.tell(self._network, self.addresses.users(), control.STATISTICS)
             except control.ControlFailed:
@@ -137,7 +137,9 @@
             self.show(Progress(f"{users['healthy']} controllers healthy", 0.0, self.scenario.length_s))
             if users["healthy"] == self.scenario.controllers:
                 return
-        raise RunFailed(f"not all controllers are healthy after {c.START_S:g} s; their logs are in {self.folder}")
+        raise RunFailed(
+            f"not all controllers are healthy after {c.START_TIMEOUT_S:g} s; their logs are in {self.folder}"
+        )
 
     def _check_alive(self) -> None:
         for process in self._all():
@@ -155,16 +157,16 @@
                 status, _ = await self._network.request(address, "PUT", "/admin/settings", body)
                 if status == 200:
                     return
-            except (NotSent, Lost, KeyError, TypeError):
+            except (NotSent, NoUsableResponse, KeyError, TypeError):
                 pass
-            await trio.sleep(c.SAMPLE_S)
+            await trio.sleep(c.SAMPLE_INTERVAL_S)
         raise RunFailed("idle_s could not be set through the administration API")
 
     async def _wait(self, stage: str, seconds: float) -> None:
         """Look at all processes every now and then until the time is over."""
         began = looked_at = time.monotonic()
         while (elapsed := time.monotonic() - began) < seconds:
-            await trio.sleep(min(c.SAMPLE_S, seconds - elapsed))
+            await trio.sleep(min(c.SAMPLE_INTERVAL_S, seconds - elapsed))
             self._check_alive()
             before = {process.name: process.cpu_s() for process in self._all()}
             for process in self._all():
@@ -187,7 +189,7 @@
         for index in range(self.scenario.controllers):
             try:
                 _, view = await self._network.request(self.addresses.controller_peers(index), "GET", "/admin/view")
-            except (NotSent, Lost):
+            except (NotSent, NoUsableResponse):
                 continue
             if isinstance(view, dict) and view.get("leader"):
                 return str(view["leader"])
