--- a/pepperlatch/command/console.py
+++ b/pepperlatch/command/console.py
@@ -11,9 +11,9 @@
 from pepperlatch.command import output
 from pepperlatch.command.service import OK, REFUSED, NoAnswer, Service
 from pepperlatch.console import formatting
-from pepperlatch.console.poller import Feed, Shown, Wants
-from pepperlatch.console.rows import BadQuery, plain
-from pepperlatch.console.view_copy import Ask, Mirror, Refused, Silent
+from pepperlatch.console.poller import Poller, Selection, ViewState
+from pepperlatch.console.rows import BadQuery, to_builtins
+from pepperlatch.console.view_copy import AskFunction, NoNodeAnswered, ViewCopy, ViewRefused
 from pepperlatch.constants import console as c
 from pepperlatch.constants import core
 from pepperlatch.protocol.http.client import HttpNetwork
@@ -29,7 +29,7 @@
         raise ValueError(f"{name}: no such time zone") from None
 
 
-def _asking(talk: Any, timeout_s: float, say: Any) -> Ask:
+def _asking(talk: Any, timeout_s: float, say: Any) -> AskFunction:
     """Compressed answers, one node after the other; what cannot be had is said by the mirror's own exceptions."""
     network = HttpNetwork(core.CLIENT_CONNECTIONS, gzip=True)
     service = Service(talk.service.nodes, timeout_s, say, network)
@@ -38,7 +38,7 @@
         try:
             return await service.ask(method, path)
         except NoAnswer as error:
-            raise Silent(str(error)) from None
+            raise NoNodeAnswered(str(error)) from None
 
     return ask
 
@@ -46,37 +46,39 @@
 def watch(talk: Any, words: str, zone_name: str, once: bool) -> int:
     """Until the viewer quits, or once as a plain table."""
     try:
-        from pepperlatch.console.terminal import read_filter, run
+        from pepperlatch.console.terminal import parse_filter, run
     except ImportError:
         output.say("the console needs more libraries: pip install 'pepperlatch[console]'")
         return REFUSED
     zone = zone_of(zone_name)
-    query = read_filter(words)
+    query = parse_filter(words)
     if once:
-        return _once(talk, Mirror(_asking(talk, talk.service.timeout_s, output.say), query), zone)
+        return _once(talk, ViewCopy(_asking(talk, talk.service.timeout_s, output.say), query), zone)
     if not sys.stdout.isatty():
         output.say("not a terminal: use --once")
         return REFUSED
-    mirror = Mirror(_asking(talk, c.STALE_S / 2, lambda text: None), query)
-    run(lambda show: Feed(mirror, Wants(query), show), zone)
+    view_copy = ViewCopy(_asking(talk, c.STALE_S / 2, lambda text: None), query)
+    run(lambda show: Poller(view_copy, Selection(query), show), zone)
     return OK
 
 
-def _once(talk: Any, mirror: Mirror, zone: tzinfo | None) -> int:
-    async def look() -> Shown:
-        await mirror.complete()
-        return await Feed(mirror, Wants(mirror.query), lambda shown: None).look()
+def _once(talk: Any, view_copy: ViewCopy, zone: tzinfo | None) -> int:
+    async def look() -> ViewState:
+        await view_copy.load_complete()
+        return await Poller(view_copy, Selection(view_copy.query), lambda view_state: None).poll_once()
 
-    shown = trio.run(look)
-    if not shown.head:
-        raise NoAnswer(shown.stale)
+    view_state = trio.run(look)
+    if not view_state.head:
+        raise NoAnswer(view_state.stale)
     if talk.form == "json":
-        output.json({**shown.head, "stale": shown.stale, "jobs": plain(shown.rows), **shown.overview})
+        output.json(
+            {**view_state.head, "stale": view_state.stale, "jobs": to_builtins(view_state.rows), **view_state.overview}
+        )
         return OK
-    output.say(f"{formatting.day_and_moment(shown.now, zone)}: {formatting.headline(shown.overview)}")
-    if shown.stale:
-        output.say(f"stale: {shown.stale}")
-    output.table(formatting.JOB_COLUMNS, [formatting.job_cells(row, shown.now) for row in shown.rows])
+    output.say(f"{formatting.date_time_text(view_state.now, zone)}: {formatting.headline(view_state.overview)}")
+    if view_state.stale:
+        output.say(f"stale: {view_state.stale}")
+    output.table(formatting.JOB_COLUMNS, [formatting.job_cells(row, view_state.now) for row in view_state.rows])
     return OK
 
 
@@ -87,19 +89,19 @@
     except ImportError:
         output.say("the report needs more libraries: pip install 'pepperlatch[console]'")
         return REFUSED
-    from pepperlatch.console.public import Hidden
+    from pepperlatch.console.public import Redactor
 
     zone = zone_of(zone_name)
-    mirror = Mirror(_asking(talk, talk.service.timeout_s, output.say))
+    view_copy = ViewCopy(_asking(talk, talk.service.timeout_s, output.say))
     try:
-        content = trio.run(page.gather, mirror, 0 if members else c.REPORT_LINES)
-    except Silent as error:
+        content = trio.run(page.gather, view_copy, 0 if members else c.REPORT_LINES)
+    except NoNodeAnswered as error:
         raise NoAnswer(str(error)) from None
-    except (Refused, BadQuery) as error:
+    except (ViewRefused, BadQuery) as error:
         output.say(str(error))
         return REFUSED
     if members:
-        content = page.for_members(content, Hidden(names, list(teams)))
+        content = page.for_members(content, Redactor(names, list(teams)))
     text = page.render(content, zone)
     if file == "-":
         print(text)
--- a/pepperlatch/console/formatting.py
+++ b/pepperlatch/console/formatting.py
@@ -26,7 +26,7 @@
 _RANKS = {priority.value: rank for priority, rank in RANK.items()}
 
 
-def span(seconds: float | None) -> str:
+def duration_text(seconds: float | None) -> str:
     """`8 s`, `2 min 5 s`, `3 h 20 min`, `2 d 4 h`; empty for None."""
     if seconds is None:
         return ""
@@ -38,7 +38,7 @@
     return f"{whole} s"
 
 
-def moment(at: float | None, zone: tzinfo | None) -> str:
+def time_text(at: float | None, zone: tzinfo | None) -> str:
     """Time of day in the reader's zone; None means the machine's own zone."""
     if at is None:
         return ""
@@ -52,12 +52,12 @@
     return f"{key} ({short})" if key and key != short else short
 
 
-def day_and_moment(at: float, zone: tzinfo | None) -> str:
+def date_time_text(at: float, zone: tzinfo | None) -> str:
     """With the zone's name, for titles."""
     return f"{datetime.fromtimestamp(at, UTC).astimezone(zone):%Y-%m-%d %H:%M:%S} {zone_name(zone, at)}"
 
 
-def first_wanted(row: JobRow) -> tuple[Any, ...]:
+def urgency_key(row: JobRow) -> tuple[Any, ...]:
     """Waiting before running, urgent before the rest, long waits first."""
     return (row.waiting == 0 and row.state != "queued", _RANKS.get(row.priority, len(Priority)), row.since, row.id)
 
@@ -66,13 +66,13 @@
     """The core's words; the moment beside them, as a span from now."""
     if row.until is None or row.until <= now:
         return row.text
-    return f"{row.text} (about {span(row.until - now)} more)"
+    return f"{row.text} (about {duration_text(row.until - now)} more)"
 
 
 def job_cells(row: JobRow, now: float) -> list[str]:
     return [
-        row.id, row.priority, str(row.waiting), span(now - row.since), reason_text(row, now), row.state, row.team,
-        row.job_class, str(row.running), str(row.done), row.why,
+        row.id, row.priority, str(row.waiting), duration_text(now - row.since), reason_text(row, now), row.state,
+        row.team, row.job_class, str(row.running), str(row.done), row.why,
     ]  # fmt: skip
 
 
@@ -95,14 +95,20 @@
 def groups(found: Iterable[JobRow]) -> list[Group]:
     """By reason: where most urgent work waits first, what runs last."""
     by_why: dict[str, list[JobRow]] = defaultdict(list)
-    for row in sorted(found, key=first_wanted):
+    for row in sorted(found, key=urgency_key):
         by_why[row.why].append(row)
-    return sorted((Group(why, rows) for why, rows in by_why.items()), key=lambda group: first_wanted(group.rows[0]))
+    return sorted((Group(why, rows) for why, rows in by_why.items()), key=lambda group: urgency_key(group.rows[0]))
 
 
 def wait_cells(waits: Sequence[dict[str, Any]], now: float) -> list[list[str]]:
     return [
-        [wait["why"], str(wait["jobs"]), str(wait["tasks"]), span(now - wait["since"]), changes_when(wait["why"])]
+        [
+            wait["why"],
+            str(wait["jobs"]),
+            str(wait["tasks"]),
+            duration_text(now - wait["since"]),
+            changes_when(wait["why"]),
+        ]
         for wait in waits
     ]
 
@@ -124,14 +130,14 @@
     return [
         [
             m["name"], m["type"], m["zone"], "spot" if m["spot"] else "", m["state"], m["why"], str(m["tasks"]),
-            f"{m['used_share']:.0%}", span(m["silent_s"]),
+            f"{m['used_share']:.0%}", duration_text(m["silent_s"]),
         ]
         for m in sorted(machines, key=lambda m: (m["state"] in calm, m["state"], m["name"]))
     ]  # fmt: skip
 
 
 def event_cells(events: Iterable[dict[str, Any]], zone: tzinfo | None) -> list[list[str]]:
-    return [[moment(e["at"], zone), e["what"], e.get("machine", ""), e["text"]] for e in events]
+    return [[time_text(e["at"], zone), e["what"], e.get("machine", ""), e["text"]] for e in events]
 
 
 def line_cells(line: Sequence[dict[str, Any]], zone: tzinfo | None, now: float) -> list[list[str]]:
@@ -139,12 +145,12 @@
     cells = []
     for n, event in enumerate(line):
         ends = next((e["at"] for e in line[n + 1 :] if e["what"] in ("reason", "over", "gap")), now)
-        lasted = span(ends - event["at"]) if event["what"] in ("reason", "waits") else ""
+        lasted = duration_text(ends - event["at"]) if event["what"] in ("reason", "waits") else ""
         count = event.get("count", 1)
         what = _WORDS.get(event["what"], event["what"])
         what = f"{count} x {what}" if count > 1 and event["what"] in ("started", "ended") else what
         text = f"{count} records" if event["what"] == "squeezed" else event.get("text", "")
-        cells.append([moment(event["at"], zone), lasted, what, text, event.get("subject", "")])
+        cells.append([time_text(event["at"], zone), lasted, what, text, event.get("subject", "")])
     return cells
 
 
@@ -166,8 +172,8 @@
 def recovery_cells(recoveries: Iterable[dict[str, Any]]) -> list[list[str]]:
     return [
         [
-            r["cause"], str(r["lost"]), str(r["run_again"]), str(r["waiting"]), span(r["median_s"]),
-            span(r["longest_s"]),
+            r["cause"], str(r["lost"]), str(r["run_again"]), str(r["waiting"]), duration_text(r["median_s"]),
+            duration_text(r["longest_s"]),
         ]
         for r in recoveries
     ]  # fmt: skip
--- a/pepperlatch/console/poller.py
+++ b/pepperlatch/console/poller.py
@@ -6,14 +6,14 @@
 
 import trio
 
-from pepperlatch.console.formatting import first_wanted
+from pepperlatch.console.formatting import urgency_key
 from pepperlatch.console.rows import JobRow, Query
-from pepperlatch.console.view_copy import Mirror, Refused, Silent
+from pepperlatch.console.view_copy import NoNodeAnswered, ViewCopy, ViewRefused
 from pepperlatch.constants import console as c
 
 
 @dataclass(frozen=True, slots=True)
-class Wants:
+class Selection:
     """What the viewer looks at. `view`: overview, jobs, job, machines, teams or events."""
 
     query: Query
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
+class ViewState:
     """One moment of the copy; nothing in it changes afterwards. `now`: time of day at the service, s."""
 
     now: float
@@ -32,22 +32,22 @@
     stale: str
     behind: bool
     detail: dict[str, Any] = field(default_factory=dict)
-    listed: list[dict[str, Any]] = field(default_factory=list)  # machines or events, as wanted
+    listing: list[dict[str, Any]] = field(default_factory=list)  # machines or events, as wanted
 
 
-class Feed:
-    """`show` is called after each try, with what is known then."""
+class Poller:
+    """`on_update` is called after each try, with what is known then."""
 
-    def __init__(self, mirror: Mirror, wants: Wants, show: Callable[[Shown], None]) -> None:
-        self._mirror = mirror
-        self._wants = wants
-        self._show = show
+    def __init__(self, view_copy: ViewCopy, selection: Selection, on_update: Callable[[ViewState], None]) -> None:
+        self._view_copy = view_copy
+        self._selection = selection
+        self._on_update = on_update
         self._wake = trio.Event()
         self._looked_at = float("-inf")
 
-    def want(self, wants: Wants) -> None:
+    def select(self, selection: Selection) -> None:
         """Look at something else, at once. In the feed's own thread."""
-        self._wants = wants
+        self._selection = selection
         self._looked_at = float("-inf")
         self._wake.set()
 
@@ -55,30 +55,31 @@
         """For as long as somebody looks; cancelled anywhere, it leaves nothing behind."""
         while True:
             self._wake = trio.Event()
-            self._show(await self.look())
+            self._on_update(await self.poll_once())
             with trio.move_on_after(c.POLL_S):
                 await self._wake.wait()
 
-    async def look(self) -> Shown:
+    async def poll_once(self) -> ViewState:
         """One try. What cannot be had stays as it was, and is said to be stale."""
-        mirror, wants = self._mirror, self._wants
-        mirror.ask_for(wants.query)
+        view_copy, selection = self._view_copy, self._selection
+        view_copy.set_query(selection.query)
         detail: dict[str, Any] = {}
-        listed: list[dict[str, Any]] = []
+        listing: list[dict[str, Any]] = []
         try:
-            await mirror.step()
+            await view_copy.apply_changes()
             if trio.current_time() - self._looked_at >= c.OVERVIEW_S:
-                await mirror.look_over()
+                await view_copy.load_overview()
                 self._looked_at = trio.current_time()
-            if wants.view == "job" and wants.job:
-                detail = await mirror.job(wants.job)
-            elif wants.view in ("machines", "events"):
-                listed = await mirror.part(wants.view)
-        except (Silent, Refused) as error:
-            mirror.why_stale = mirror.why_stale or str(error)
-        rows = sorted(mirror.rows.values(), key=first_wanted)
-        at, ago = mirror.head.get("at") or 0.0, trio.current_time() - mirror.answered_at
-        now = at + ago if mirror.head else 0.0
-        return Shown(
-            now, dict(mirror.head), rows, dict(mirror.overview), mirror.stale(), mirror.behind, detail, listed
+            if selection.view == "job" and selection.job:
+                detail = await view_copy.fetch_job(selection.job)
+            elif selection.view in ("machines", "events"):
+                listing = await view_copy.fetch_list(selection.view)
+        except (NoNodeAnswered, ViewRefused) as error:
+            view_copy.why_stale = view_copy.why_stale or str(error)
+        rows = sorted(view_copy.rows.values(), key=urgency_key)
+        at, ago = view_copy.head.get("at") or 0.0, trio.current_time() - view_copy.answered_at
+        now = at + ago if view_copy.head else 0.0
+        return ViewState(
+            now, dict(view_copy.head), rows, dict(view_copy.overview), view_copy.stale_reason(), view_copy.behind,
+            detail, listing,
         )  # fmt: skip
--- a/pepperlatch/console/public.py
+++ b/pepperlatch/console/public.py
@@ -17,7 +17,7 @@
 _OVERVIEW = ("node", "version", "at", "age_s", "source", "why", "states", "waits")
 
 
-class Hidden:
+class Redactor:
     """Puts words in place of names: the same for the same name, and another set for each `key`."""
 
     def __init__(self, names: bool, teams: list[str], key: bytes | None = None) -> None:
@@ -49,7 +49,7 @@
 
     def __init__(self, views: Views, wanted: features.Public) -> None:
         self._views = views
-        self._hidden = Hidden(wanted.names, wanted.teams)
+        self._hidden = Redactor(wanted.names, wanted.teams)
         self._pages: dict[str, str] = {}  # what asks the leader for a page names a job, so members get a word for it
 
     async def handle(self, request: Request) -> Response:
--- a/pepperlatch/console/report.py
+++ b/pepperlatch/console/report.py
@@ -13,9 +13,9 @@
 
 from pepperlatch.console import formatting
 from pepperlatch.console.formatting import Group
-from pepperlatch.console.public import Hidden
+from pepperlatch.console.public import Redactor
 from pepperlatch.console.rows import JobRow
-from pepperlatch.console.view_copy import Mirror
+from pepperlatch.console.view_copy import ViewCopy
 from pepperlatch.constants import console as c
 from pepperlatch.policy.reasons import counted
 
@@ -35,25 +35,25 @@
     events: list[dict[str, Any]] = field(default_factory=list)
 
 
-async def gather(mirror: Mirror, lines: int = c.REPORT_LINES) -> Content:
+async def gather(view_copy: ViewCopy, lines: int = c.REPORT_LINES) -> Content:
     """Ask for everything once. Raises Silent or Refused if nobody answers for the jobs; the rest may be missing."""
-    await mirror.complete(c.SEARCH_ROWS + 1)
-    rows = sorted(mirror.rows.values(), key=formatting.first_wanted)
-    content = Content(dict(mirror.head), rows[: c.SEARCH_ROWS], {}, mirror.stale())
-    await mirror.look_over()
-    content.overview = dict(mirror.overview)
+    await view_copy.load_complete(c.SEARCH_ROWS + 1)
+    rows = sorted(view_copy.rows.values(), key=formatting.urgency_key)
+    content = Content(dict(view_copy.head), rows[: c.SEARCH_ROWS], {}, view_copy.stale_reason())
+    await view_copy.load_overview()
+    content.overview = dict(view_copy.overview)
     total = sum(content.overview.get("states", {}).values())
     content.left_out = max(0, total - len(content.rows)) if len(rows) > c.SEARCH_ROWS else 0
     if not content.stale:
-        content.events = await mirror.part("events")
+        content.events = await view_copy.fetch_list("events")
         waiting = [row for row in content.rows if row.waiting][:lines]
-        content.lines = [(row, await mirror.job(row.id)) for row in waiting]
+        content.lines = [(row, await view_copy.fetch_job(row.id)) for row in waiting]
     return content
 
 
-def for_members(content: Content, hidden: Hidden) -> Content:
-    """No machines, teams, money, events or time lines; names as `hidden` allows."""
-    shown = hidden.rows([msgspec.to_builtins(row) for row in content.rows])
+def for_members(content: Content, redactor: Redactor) -> Content:
+    """No machines, teams, money, events or time lines; names as `redactor` allows."""
+    shown = redactor.rows([msgspec.to_builtins(row) for row in content.rows])
     overview = {name: content.overview[name] for name in ("states", "waits") if name in content.overview}
     return Content(content.head, msgspec.convert(shown, list[JobRow]), overview, content.stale, content.left_out)
 
@@ -104,7 +104,7 @@
         loader=FileSystemLoader(TEMPLATES), autoescape=True, undefined=StrictUndefined, trim_blocks=True,
         lstrip_blocks=True,
     )  # fmt: skip
-    made.filters["span"] = formatting.span
+    made.filters["span"] = formatting.duration_text
     return made
 
 
@@ -117,8 +117,8 @@
     return _environment().get_template("report.html.j2").render(
         title=title,
         now=now,
-        moment=lambda at: formatting.moment(at, zone),
-        made_at=formatting.day_and_moment(now, zone),
+        moment=lambda at: formatting.time_text(at, zone),
+        made_at=formatting.date_time_text(now, zone),
         zone=formatting.zone_name(zone, now),
         content=content,
         headline=formatting.headline(content.overview),
@@ -146,6 +146,6 @@
         ("Events", formatting.EVENT_COLUMNS, formatting.event_cells(content.events[: c.REPORT_EVENTS], zone)),
     ]
     if money:
-        title = f"Money of the last {formatting.span(money['over_s'])}"
+        title = f"Money of the last {formatting.duration_text(money['over_s'])}"
         found.insert(3, (title, formatting.MONEY_COLUMNS, formatting.money_cells(money)))
     return [table for table in found if table[2]]
--- a/pepperlatch/console/rows.py
+++ b/pepperlatch/console/rows.py
@@ -102,16 +102,16 @@
 
     def pairs(self) -> dict[str, Any]:
         """What differs from the default, as a query string names it."""
-        plain = Query()
+        defaults = Query()
         found = {name: getattr(self, name) for name in self.__struct_fields__}
-        return {_SPELLED.get(name, name): value for name, value in found.items() if value != getattr(plain, name)}
+        return {_SPELLED.get(name, name): value for name, value in found.items() if value != getattr(defaults, name)}
 
     def path(self, path: str, **more: Any) -> str:
         pairs = {**self.pairs(), **more}
         return f"{path}?{urlencode(pairs)}" if pairs else path
 
 
-def plain(found: Iterable[JobRow]) -> list[Any]:
+def to_builtins(found: Iterable[JobRow]) -> list[Any]:
     """As JSON takes them."""
     return [msgspec.to_builtins(row) for row in found]
 
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -172,7 +172,7 @@
         entry = model.leader.replica.jobs.get(job_id)
         if entry is None:
             raise KeyError(job_id)
-        found: dict[str, Any] = {"job": rows.plain([row])[0] if row else None, "line": line}
+        found: dict[str, Any] = {"job": rows.to_builtins([row])[0] if row else None, "line": line}
         found["state"] = row.state if row else entry.state.value
         if row is not None:
             found["changes_when"] = changes_when(row.why)
@@ -255,7 +255,7 @@
             return Response(200, {**head, **rows.totals(made)})
         query = rows.parse(text)[0]
         shown, after = rows.page(rows.found(made, query), query)
-        return Response(200, {**head, "jobs": rows.plain(shown), "next": after, "shown": len(made)})
+        return Response(200, {**head, "jobs": rows.to_builtins(shown), "next": after, "shown": len(made)})
 
 
 def _known(path: str) -> bool:
--- a/pepperlatch/console/terminal.py
+++ b/pepperlatch/console/terminal.py
@@ -18,16 +18,16 @@
 from textual.widgets import DataTable, Footer, Input, Static, TabbedContent, TabPane
 
 from pepperlatch.console import formatting
-from pepperlatch.console.poller import Feed, Shown, Wants
+from pepperlatch.console.poller import Poller, Selection, ViewState
 from pepperlatch.console.rows import BadQuery, Query, parse
 from pepperlatch.constants import console as c
 
-FeedOf = Callable[[Callable[[Shown], None]], Feed]
+PollerFactory = Callable[[Callable[[ViewState], None]], Poller]
 NARROW = 110  # columns; below that a job's row has only what is needed most
 _VIEWS = ("overview", "jobs", "job", "machines", "teams", "events")
 
 
-def read_filter(text: str, page: int = c.PAGE_MOST) -> Query:
+def parse_filter(text: str, page: int = c.PAGE_MOST) -> Query:
     """`team:web-services priority:urgent why:team-limit words` as a query. Raises BadQuery naming the field."""
     fields: dict[str, str] = {}
     words = []
@@ -87,17 +87,19 @@
         Binding("q", "quit", "quit"),
     ]
 
-    def __init__(self, want: Callable[[Wants], None], zone: tzinfo | None = None, wants: Wants | None = None) -> None:
+    def __init__(
+        self, want: Callable[[Selection], None], zone: tzinfo | None = None, selection: Selection | None = None
+    ) -> None:
         super().__init__()
         self._want = want
         self._zone = zone
-        self._wants = wants or Wants(read_filter(""))
-        self._last: Shown | None = None
+        self._selection = selection or Selection(parse_filter(""))
+        self._last: ViewState | None = None
 
     def compose(self) -> ComposeResult:
         yield Static("asking ...", id="head", markup=False)
         yield Static("", id="stale", markup=False)
-        with TabbedContent(initial=self._wants.view, id="views"):
+        with TabbedContent(initial=self._selection.view, id="views"):
             for view in _VIEWS:
                 with TabPane(view, id=view), Vertical():
                     if view == "jobs":
@@ -120,21 +122,21 @@
         self.query_one("#filter", Input).focus()
 
     def action_leave(self) -> None:
-        self.action_view("jobs" if self._wants.view == "job" else self._wants.view)
+        self.action_view("jobs" if self._selection.view == "job" else self._selection.view)
         self._table("jobs").focus()
 
     def on_tabbed_content_tab_activated(self, event: TabbedContent.TabActivated) -> None:
-        if event.pane.id and event.pane.id != self._wants.view:
+        if event.pane.id and event.pane.id != self._selection.view:
             self._look(event.pane.id)
 
     def on_input_submitted(self, event: Input.Submitted) -> None:
         try:
-            query = read_filter(event.value)
+            query = parse_filter(event.value)
         except BadQuery as error:
             self.query_one("#words-jobs", Static).update(str(error))
             return
-        self._wants = Wants(query, "jobs", self._wants.job)
-        self._want(self._wants)
+        self._selection = Selection(query, "jobs", self._selection.job)
+        self._want(self._selection)
         self._table("jobs").focus()
 
     def on_data_table_row_highlighted(self, event: DataTable.RowHighlighted) -> None:
@@ -146,12 +148,12 @@
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
         table = event.data_table
         if table.id == "table-jobs" and isinstance(table, Table) and (job := table.current()):
-            self._wants = Wants(self._wants.query, "job", job)
+            self._selection = Selection(self._selection.query, "job", job)
             self.action_view("job")
 
     def _look(self, view: str) -> None:
-        self._wants = Wants(self._wants.query, view, self._wants.job)
-        self._want(self._wants)
+        self._selection = Selection(self._selection.query, view, self._selection.job)
+        self._want(self._selection)
         if self._last is not None:
             self.show(self._last)
 
@@ -160,74 +162,74 @@
     def _table(self, view: str) -> Table:
         return self.query_one(f"#table-{view}", Table)
 
-    def show(self, shown: Shown) -> None:
+    def show(self, view_state: ViewState) -> None:
         """Called in the terminal's own thread."""
-        self._last = shown
-        self.query_one("#head", Static).update(_head(shown, self._zone))
-        self.query_one("#stale", Static).update(f"STALE: {shown.stale}" if shown.stale else "")
-        if shown.head:
-            words, columns, rows = self._content(shown)
-            self.query_one(f"#words-{self._wants.view}", Static).update(words)
-            self._table(self._wants.view).fill(columns, rows)
-
-    def _content(self, shown: Shown) -> tuple[str, Sequence[str], list[list[str]]]:
-        view, overview = self._wants.view, shown.overview
+        self._last = view_state
+        self.query_one("#head", Static).update(_head(view_state, self._zone))
+        self.query_one("#stale", Static).update(f"STALE: {view_state.stale}" if view_state.stale else "")
+        if view_state.head:
+            words, columns, rows = self._content(view_state)
+            self.query_one(f"#words-{self._selection.view}", Static).update(words)
+            self._table(self._selection.view).fill(columns, rows)
+
+    def _content(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
+        view, overview = self._selection.view, view_state.overview
         if view == "jobs":
-            return self._jobs(shown)
+            return self._jobs(view_state)
         if view == "job":
-            return self._job(shown)
+            return self._job(view_state)
         if view == "machines":
             counts = formatting.machine_counts(overview.get("machines", []))
             words = ", ".join(f"{count} {state}" for state, count in counts.items())
-            return words, formatting.MACHINE_COLUMNS, formatting.machine_cells(shown.listed)
+            return words, formatting.MACHINE_COLUMNS, formatting.machine_cells(view_state.listing)
         if view == "teams":
             return "", formatting.TEAM_COLUMNS, formatting.team_cells(overview.get("teams", []))
         if view == "events":
-            return "", formatting.EVENT_COLUMNS, formatting.event_cells(shown.listed, self._zone)
-        waits = formatting.wait_cells(overview.get("waits", []), shown.now)
+            return "", formatting.EVENT_COLUMNS, formatting.event_cells(view_state.listing, self._zone)
+        waits = formatting.wait_cells(overview.get("waits", []), view_state.now)
         return formatting.headline(overview), formatting.WAIT_COLUMNS, waits
 
-    def _jobs(self, shown: Shown) -> tuple[str, Sequence[str], list[list[str]]]:
-        found = shown.rows[: c.ROWS_SHOWN]
-        more = len(shown.rows) - len(found)
-        words = f"{len(shown.rows)} jobs" + (f", the first {len(found)} shown: filter with /" if more else "")
-        if shown.behind:
+    def _jobs(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
+        found = view_state.rows[: c.ROWS_SHOWN]
+        more = len(view_state.rows) - len(found)
+        words = f"{len(view_state.rows)} jobs" + (f", the first {len(found)} shown: filter with /" if more else "")
+        if view_state.behind:
             words += "; more has changed than this link is sent, the rest follows"
-        rows = [formatting.job_cells(row, shown.now) for row in found]
+        rows = [formatting.job_cells(row, view_state.now) for row in found]
         columns = formatting.JOB_COLUMNS if self.size.width >= NARROW else formatting.NARROW_COLUMNS
         return words, columns, [row[: len(columns)] for row in rows]
 
-    def _job(self, shown: Shown) -> tuple[str, Sequence[str], list[list[str]]]:
-        if not self._wants.job:
+    def _job(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
+        if not self._selection.job:
             return "choose a job with Enter in the list", formatting.LINE_COLUMNS, []
-        lines = [f"{self._wants.job}: {shown.detail.get('state', '...')}"]
-        row = next((row for row in shown.rows if row.id == self._wants.job), None)
+        lines = [f"{self._selection.job}: {view_state.detail.get('state', '...')}"]
+        row = next((row for row in view_state.rows if row.id == self._selection.job), None)
         if row is not None:
-            lines.append(formatting.reason_text(row, shown.now))
-            lines.append(f"this changes when: {shown.detail.get('changes_when', '')}")
-        lines.append(formatting.order_text(shown.detail.get("order")))
-        line = shown.detail.get("line", [])[-c.LINES_SHOWN :]
-        cells = formatting.line_cells(line, self._zone, shown.now)
+            lines.append(formatting.reason_text(row, view_state.now))
+            lines.append(f"this changes when: {view_state.detail.get('changes_when', '')}")
+        lines.append(formatting.order_text(view_state.detail.get("order")))
+        line = view_state.detail.get("line", [])[-c.LINES_SHOWN :]
+        cells = formatting.line_cells(line, self._zone, view_state.now)
         return "\n".join(text for text in lines if text), formatting.LINE_COLUMNS, cells
 
 
-def _head(shown: Shown, zone: tzinfo | None) -> str:
-    if not shown.head:
+def _head(view_state: ViewState, zone: tzinfo | None) -> str:
+    if not view_state.head:
         return "nobody has answered yet"
-    head = shown.head
-    at = formatting.day_and_moment(head["at"], zone) if head.get("at") else ""
+    head = view_state.head
+    at = formatting.date_time_text(head["at"], zone) if head.get("at") else ""
     return f"{at}  {head.get('leader') or 'nobody'} leads, seen at {head.get('node')}"
 
 
-class Live(ConsoleApp):
+class LiveConsoleApp(ConsoleApp):
     """The console with its feed, which begins once there is something to show it on, in a thread of its own.
 
     If the feed ends by a mistake, so does the console; `failed` says of what.
     """
 
-    def __init__(self, feed_of: FeedOf, zone: tzinfo | None, wants: Wants | None = None) -> None:
-        super().__init__(self._tell, zone, wants)
-        self._feed = feed_of(self._take)
+    def __init__(self, create_poller: PollerFactory, zone: tzinfo | None, selection: Selection | None = None) -> None:
+        super().__init__(self._tell, zone, selection)
+        self._poller = create_poller(self._take)
         self._token: Any = None
         self._over = False
         self.failed: BaseException | None = None
@@ -238,19 +240,19 @@
     def on_unmount(self) -> None:
         self._over = True
 
-    def _tell(self, wants: Wants) -> None:
+    def _tell(self, selection: Selection) -> None:
         if self._token is not None and self.failed is None:
-            self._token.run_sync_soon(self._feed.want, wants)
+            self._token.run_sync_soon(self._poller.select, selection)
 
-    def _take(self, shown: Shown) -> None:
+    def _take(self, view_state: ViewState) -> None:
         """In the feed's thread. Seen: called before the screen was there, it ended the feed without a word."""
         if not self._over:
-            self.call_from_thread(self.show, shown)
+            self.call_from_thread(self.show, view_state)
 
     def _follow(self) -> None:
         async def main() -> None:
             self._token = trio.lowlevel.current_trio_token()
-            await self._feed.run()
+            await self._poller.run()
 
         try:
             trio.run(main)
@@ -260,9 +262,9 @@
                 self.call_from_thread(self.exit)
 
 
-def run(feed_of: FeedOf, zone: tzinfo | None) -> None:
-    """Until the viewer quits. `feed_of` makes the feed that calls what it is given."""
-    app = Live(feed_of, zone)
+def run(create_poller: PollerFactory, zone: tzinfo | None) -> None:
+    """Until the viewer quits. `create_poller` makes the feed that calls what it is given."""
+    app = LiveConsoleApp(create_poller, zone)
     app.run()
     if app.failed is not None and not isinstance(app.failed, RuntimeError):
         raise app.failed
--- a/pepperlatch/console/view_copy.py
+++ b/pepperlatch/console/view_copy.py
@@ -1,7 +1,7 @@
 """A viewer's copy of the view: a snapshot, then what has changed since.
 
 It survives a change of leader, and says how old it is. No terminal and no page here: the console and the report both
-look at a `Mirror`.
+look at a `ViewCopy`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -15,14 +15,14 @@
 from pepperlatch.console.service import BASE
 from pepperlatch.constants import console as c
 
-Ask = Callable[[str, str], Awaitable[tuple[int, Any]]]
+AskFunction = Callable[[str, str], Awaitable[tuple[int, Any]]]
 
 
-class Silent(Exception):
+class NoNodeAnswered(Exception):
     """Nobody answers in time; the text says what came last."""
 
 
-class Refused(Exception):
+class ViewRefused(Exception):
     """The service answers, and will not show that; the text says why."""
 
 
@@ -30,13 +30,13 @@
 
 
 @dataclass(slots=True)
-class Mirror:
+class ViewCopy:
     """`ask(method, path)` tries one node after the other; it raises Silent if none answers in time.
 
     After every call the copy is whole: cancelled or failed in the middle, it is as it was before.
     """
 
-    ask: Ask
+    ask: AskFunction
     query: Query = field(default_factory=lambda: Query(state="unfinished", page=c.PAGE_MOST, most=c.CONSOLE_BYTES))
     head: dict[str, Any] = field(default_factory=dict)
     rows: dict[str, JobRow] = field(default_factory=dict)
@@ -46,20 +46,20 @@
     answered_at: float = float("-inf")  # steady clock
     _since: int = -1  # revision; -1: a snapshot is wanted
 
-    async def complete(self, most: int = 1_000_000) -> None:
+    async def load_complete(self, most: int = 1_000_000) -> None:
         """A snapshot once the leader has taken in all that it was told of: it makes few rows at once.
 
-        Raises as `load`.
+        Raises as `load_snapshot`.
         """
         while True:
             first = await self._get(self.query.path(f"{BASE}/jobs", page=1))
             if not first.get("pending"):
-                await self.load(most)
+                await self.load_snapshot(most)
                 if self.head["token"] == first["token"]:  # else another leader begins anew
                     return
             await trio.sleep(c.POLL_S / 2)
 
-    async def load(self, most: int = 1_000_000) -> None:
+    async def load_snapshot(self, most: int = 1_000_000) -> None:
         """Take a snapshot of up to so many jobs. What its leader has not taken in yet comes with the changes.
 
         Raises Silent or Refused.
@@ -71,7 +71,7 @@
                 self._answered(first)
                 self._since = first["revision"] if first["source"] == "leader" else -1
                 return
-        raise Silent("the leader changes again and again while its jobs are read")
+        raise NoNodeAnswered("the leader changes again and again while its jobs are read")
 
     async def _pages(self, most: int) -> tuple[dict[str, Any], dict[str, JobRow]] | None:
         """The first page's head and all rows; None if another leader, or the records, answered in between.
@@ -91,23 +91,23 @@
             if not after or len(found) >= most:
                 return first, found
 
-    async def step(self) -> None:
+    async def apply_changes(self) -> None:
         """Take in what has changed; a new snapshot where that cannot be told. Raises Silent or Refused."""
         if self._since < 0:
-            await self.load()
+            await self.load_snapshot()
             return
         path = self.query.path(f"{BASE}/changes", token=self.head["token"], since=self._since)
         try:
             status, answer = await self.ask("GET", path)
-        except Silent:
+        except NoNodeAnswered:
             if trio.current_time() - self.answered_at > c.STALE_S:  # by now, records may be all there is
                 self._since = -1
             raise
         if status == 410:
-            await self.load()
+            await self.load_snapshot()
             return
         if status != 200:
-            raise Refused(_said(status, answer))
+            raise ViewRefused(_said(status, answer))
         for row in _rows(answer["jobs"]):
             self.rows[row.id] = row
         for job_id in answer["gone"]:
@@ -115,25 +115,25 @@
         self._since, self.behind = answer["upto"], answer["more"]
         self._answered(answer)
 
-    def ask_for(self, query: Query) -> None:
+    def set_query(self, query: Query) -> None:
         """Other jobs from the next step on."""
         if query != self.query:
             self.query, self._since = query, -1
 
-    async def look_over(self) -> None:
+    async def load_overview(self) -> None:
         """Ask for all but the jobs. Raises Silent or Refused."""
         self.overview = await self._get(f"{BASE}/overview")
 
-    async def job(self, job_id: str) -> dict[str, Any]:
+    async def fetch_job(self, job_id: str) -> dict[str, Any]:
         """One job with its time line. Raises Silent or Refused."""
         return await self._get(f"{BASE}/jobs/{job_id}")
 
-    async def part(self, name: str) -> list[dict[str, Any]]:
+    async def fetch_list(self, name: str) -> list[dict[str, Any]]:
         """`machines` or `events`. Raises Silent or Refused."""
         found: list[dict[str, Any]] = (await self._get(f"{BASE}/{name}"))[name]
         return found
 
-    def stale(self) -> str:
+    def stale_reason(self) -> str:
         """Why what is shown may be old; empty if it is not."""
         if self.why_stale:
             return self.why_stale
@@ -150,7 +150,7 @@
     async def _get(self, path: str) -> dict[str, Any]:
         status, answer = await self.ask("GET", path)
         if status != 200:
-            raise Refused(_said(status, answer))
+            raise ViewRefused(_said(status, answer))
         found: dict[str, Any] = answer
         return found
 
@@ -164,4 +164,4 @@
     try:
         return msgspec.convert(found, list[JobRow])
     except msgspec.ValidationError as error:
-        raise Refused(f"the service shows jobs in a way that is not known here: {error}") from None
+        raise ViewRefused(f"the service shows jobs in a way that is not known here: {error}") from None
