--- a/pepperlatch/console/accounting.py
+++ b/pepperlatch/console/accounting.py
@@ -10,9 +10,9 @@
 from pepperlatch.policy.model import Attempt, Machine, Status
 from pepperlatch.protocol.wire import Kind, TaskState
 
-BOOT, IDLE, FREE = "booting", "idle", "free room"
+USE_BOOTING, USE_IDLE, USE_FREE = "booting", "idle", "free room"
 # Ends that are no loss: the job or the task is over, or it never began.
-NO_LOSS = frozenset(("done", "the job is over", "done already", "not sent"))
+NOT_LOSSES = frozenset(("done", "the job is over", "done already", "not sent"))
 
 
 def _sums() -> dict[tuple[str, str], float]:
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Money:
+class CostAccounting:
     """Spent since `since`, as far as this leader has seen it; prices in the cloud's own unit.
 
     Each machine's cost is divided by what its room is used for: what tasks ask for (CPUs, or GPUs where there are
@@ -28,29 +28,29 @@
     """
 
     since: float  # steady clock
-    at: float
+    charged_until: float
     by_machine: dict[tuple[str, str], float] = field(default_factory=_sums)  # (type, spot or ordinary)
     by_use: dict[tuple[str, str], float] = field(default_factory=_sums)  # (team, class), or ("", what it was not for)
     paid_cpu_s: float = 0.0
     useful_cpu_s: float = 0.0
 
-    def sample(self, machines: Iterable[Machine], now: float) -> None:
+    def charge(self, machines: Iterable[Machine], now: float) -> None:
         """Charge the time since the last sample by what is there now."""
-        took, self.at = now - self.at, now
-        if took <= 0:
+        elapsed_s, self.charged_until = now - self.charged_until, now
+        if elapsed_s <= 0:
             return
         for machine in machines:
-            cost = machine.price() * took / 3600
+            cost = machine.price() * elapsed_s / 3600
             self.by_machine[(machine.type.name, "spot" if machine.spot else "ordinary")] += cost
-            self.paid_cpu_s += machine.type.cpus * took
+            self.paid_cpu_s += machine.type.cpus * elapsed_s
             if machine.status in (Status.BOOTING, Status.JOINING):
-                self.by_use[("", BOOT)] += cost
+                self.by_use[("", USE_BOOTING)] += cost
             elif not machine.attempts:
-                self.by_use[("", IDLE)] += cost
+                self.by_use[("", USE_IDLE)] += cost
             else:
-                self._divide(machine, cost, took)
+                self._split_by_use(machine, cost, elapsed_s)
 
-    def _divide(self, machine: Machine, cost: float, took: float) -> None:
+    def _split_by_use(self, machine: Machine, cost: float, elapsed_s: float) -> None:
         left = 1.0
         for attempt in machine.attempts.values():
             spec = attempt.job.spec
@@ -58,17 +58,17 @@
             left -= part
             self.by_use[(spec.team, spec.job_class)] += cost * part
             if spec.kind is Kind.SERVICE and attempt.state is TaskState.RUNNING:
-                self.useful_cpu_s += spec.cpus * took
-        self.by_use[("", FREE)] += cost * left
+                self.useful_cpu_s += spec.cpus * elapsed_s
+        self.by_use[("", USE_FREE)] += cost * left
 
     def ended(self, attempt: Attempt, cause: str, now: float) -> None:
         """The run time of a task that completed was useful."""
         if cause == "done" and attempt.running_at is not None:
             self.useful_cpu_s += (now - attempt.running_at) * attempt.job.spec.cpus
 
-    def shown(self, now: float) -> dict[str, Any]:
+    def summary(self, now: float) -> dict[str, Any]:
         total = sum(self.by_machine.values())
-        unused = {name: self.by_use[("", name)] for name in (BOOT, IDLE, FREE)}
+        unused = {name: self.by_use[("", name)] for name in (USE_BOOTING, USE_IDLE, USE_FREE)}
         return {
             "spent": round(total, 4),
             "over_s": round(now - self.since, 1),
@@ -86,57 +86,57 @@
 
 
 @dataclass(slots=True)
-class Cause:
+class LossStats:
     lost: int = 0
-    back: int = 0
-    spans: deque[float] = field(default_factory=lambda: deque(maxlen=c.SAMPLES_KEPT))
-    longest: float = 0.0
+    recovered: int = 0
+    durations_s: deque[float] = field(default_factory=lambda: deque(maxlen=c.SAMPLES_KEPT))
+    longest_s: float = 0.0
 
 
 @dataclass(slots=True)
 class Recoveries:
     """Tasks that ended without being done, by cause, and how long until each ran again."""
 
-    causes: dict[str, Cause] = field(default_factory=dict)
-    _open: dict[str, dict[int, tuple[float, str]]] = field(default_factory=dict)  # by job and task
-    _count: int = 0
+    causes: dict[str, LossStats] = field(default_factory=dict)
+    _pending: dict[str, dict[int, tuple[float, str]]] = field(default_factory=dict)  # by job and task
+    _pending_count: int = 0
 
     def ended(self, attempt: Attempt, cause: str, now: float) -> None:
-        if cause in NO_LOSS or attempt.running_at is None:
+        if cause in NOT_LOSSES or attempt.running_at is None:
             return
         label = cause.split(" run-")[0][: c.CAUSE_CHARS]  # "stopped for run-..." is one cause, not one for each job
         if label not in self.causes and len(self.causes) >= c.SAMPLES_KEPT:
             label = "other"
-        self.causes.setdefault(label, Cause()).lost += 1
-        if self._count < c.LOSSES_MOST:
-            self._close(attempt)
-            self._open.setdefault(attempt.job.spec.id, {})[attempt.task] = (now, label)
-            self._count += 1
+        self.causes.setdefault(label, LossStats()).lost += 1
+        if self._pending_count < c.LOSSES_MOST:
+            self._remove_pending(attempt)
+            self._pending.setdefault(attempt.job.spec.id, {})[attempt.task] = (now, label)
+            self._pending_count += 1
 
     def started(self, attempt: Attempt, now: float) -> None:
-        found = self._close(attempt)
+        found = self._remove_pending(attempt)
         if found is not None:
-            cause, took = self.causes[found[1]], now - found[0]
-            cause.back += 1
-            cause.spans.append(took)
-            cause.longest = max(cause.longest, took)
+            cause, elapsed_s = self.causes[found[1]], now - found[0]
+            cause.recovered += 1
+            cause.durations_s.append(elapsed_s)
+            cause.longest_s = max(cause.longest_s, elapsed_s)
 
-    def over(self, job_id: str) -> None:
+    def job_ended(self, job_id: str) -> None:
         """Nobody waits for tasks of a job that is over."""
-        self._count -= len(self._open.pop(job_id, ()))
+        self._pending_count -= len(self._pending.pop(job_id, ()))
 
-    def _close(self, attempt: Attempt) -> tuple[float, str] | None:
-        found = self._open.get(attempt.job.spec.id, {}).pop(attempt.task, None)
-        self._count -= found is not None
+    def _remove_pending(self, attempt: Attempt) -> tuple[float, str] | None:
+        found = self._pending.get(attempt.job.spec.id, {}).pop(attempt.task, None)
+        self._pending_count -= found is not None
         return found
 
-    def shown(self) -> list[dict[str, Any]]:
-        waiting = Counter(label for tasks in self._open.values() for _, label in tasks.values())
+    def summary(self) -> list[dict[str, Any]]:
+        waiting = Counter(label for tasks in self._pending.values() for _, label in tasks.values())
         return [
             {
-                "cause": label, "lost": cause.lost, "run_again": cause.back, "waiting": waiting[label],
-                "median_s": round(statistics.median(cause.spans), 1) if cause.spans else None,
-                "longest_s": round(cause.longest, 1) if cause.back else None,
+                "cause": label, "lost": cause.lost, "run_again": cause.recovered, "waiting": waiting[label],
+                "median_s": round(statistics.median(cause.durations_s), 1) if cause.durations_s else None,
+                "longest_s": round(cause.longest_s, 1) if cause.recovered else None,
             }
             for label, cause in sorted(self.causes.items(), key=lambda item: -item[1].lost)
         ]  # fmt: skip
--- a/pepperlatch/console/extension.py
+++ b/pepperlatch/console/extension.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from pepperlatch.console.recorder import Recorder
-    from pepperlatch.console.service import Views
+    from pepperlatch.console.service import ViewService
     from pepperlatch.controller.leader import Leader
 
 log = logging.getLogger(__name__)
@@ -34,81 +34,81 @@
     operator_paths: Sequence[str] = ("/console", "/metrics")
 
     def __init__(
-        self, core: ExtensionContext, wanted: features.Console, spent: Callable[[], float] = time.process_time
+        self, core: ExtensionContext, config: features.Console, cpu_time: Callable[[], float] = time.process_time
     ) -> None:
         self._core = core
-        self._wanted = wanted
-        self._spent = spent
-        self._leads: tuple[Leader, Recorder] | None = None
-        self._made: Views | None = None
-        self._looked = trio.Event()
+        self._config = config
+        self._cpu_time = cpu_time
+        self._leader_and_recorder: tuple[Leader, Recorder] | None = None
+        self._view_service: ViewService | None = None
+        self._first_request = trio.Event()
 
     def create_listener(self, leader: "Leader") -> Listener:
         from pepperlatch.console.recorder import Recorder
 
-        over = None
-        if self._wanted.trace_share > 0:
-            from pepperlatch.console.tracing import Traces
+        on_job_over = None
+        if self._config.trace_share > 0:
+            from pepperlatch.console.tracing import JobTracer
 
-            over = Traces(self._core.settings.node, self._wanted.trace_share).over
+            on_job_over = JobTracer(self._core.settings.node, self._config.trace_share).export_job
         jobs = leader.replica.jobs
-        recorder = Recorder(self._core.clock, self._core.wall, lambda job_id: jobs[job_id].record.at, over)
-        self._leads = (leader, recorder)
-        if self._made is not None:
-            self._made.lead(leader, recorder)
+        recorder = Recorder(self._core.clock, self._core.wall, lambda job_id: jobs[job_id].record.at, on_job_over)
+        self._leader_and_recorder = (leader, recorder)
+        if self._view_service is not None:
+            self._view_service.start_term(leader, recorder)
         return recorder
 
-    def _views(self) -> "Views":
-        if self._made is None:
-            from pepperlatch.console.service import Views
+    def _get_view_service(self) -> "ViewService":
+        if self._view_service is None:
+            from pepperlatch.console.service import ViewService
 
-            self._made = Views(self._core, self._spent)
-            self._looked.set()
-            if self._leads is not None:
-                self._made.lead(*self._leads)
-        return self._made
+            self._view_service = ViewService(self._core, self._cpu_time)
+            self._first_request.set()
+            if self._leader_and_recorder is not None:
+                self._view_service.start_term(*self._leader_and_recorder)
+        return self._view_service
 
     async def handle(self, request: Request) -> Response:
         if request.path.partition("?")[0] == "/metrics":
-            return self._metrics()
-        return await self._views().handle(request)
+            return self._metrics_response()
+        return await self._get_view_service().handle(request)
 
-    def _metrics(self) -> Response:
-        if not self._wanted.metrics:
+    def _metrics_response(self) -> Response:
+        if not self._config.metrics:
             return Response(404, {"error": "metrics are off: [console] metrics in deploy/features.toml"})
         from pepperlatch.console import metrics
 
-        kind, text = metrics.exposed(self._core, self._leads)
-        return Response(200, text, {"Content-Type": kind})
+        content_type, text = metrics.render_metrics(self._core, self._leader_and_recorder)
+        return Response(200, text, {"Content-Type": content_type})
 
     async def run(self) -> None:
         """The rows of those who look, and the members' listener, if there is one."""
         async with trio.open_nursery() as nursery:
-            if self._wanted.public.listen:
-                from pepperlatch.console.public import Public
+            if self._config.public.listen:
+                from pepperlatch.console.public import MembersView
 
-                host, port = split_address(self._wanted.public.listen)
-                server = Server(Public(self._views(), self._wanted.public).handle, c.PUBLIC_CONNECTIONS)
+                host, port = split_address(self._config.public.listen)
+                server = Server(MembersView(self._get_view_service(), self._config.public).handle, c.PUBLIC_CONNECTIONS)
                 nursery.start_soon(server.serve, host, port)
-            await self._looked.wait()
-            await self._views().run()
+            await self._first_request.wait()
+            await self._get_view_service().run()
 
     async def run_while_leading(self, term: Term) -> None:
         """Take up what the last leader saved, then save in turn. Cut off anywhere, the last whole saving stays."""
-        from pepperlatch.console.persistence import Saving
+        from pepperlatch.console.persistence import TimelinePersistence
 
-        leads = self._leads
-        if leads is None or leads[0].term is not term:
+        leader_and_recorder = self._leader_and_recorder
+        if leader_and_recorder is None or leader_and_recorder[0].term is not term:
             return
-        leader, recorder = leads
-        saving = Saving(self._core, leader, recorder)
-        await saving.restore()
+        leader, recorder = leader_and_recorder
+        persistence = TimelinePersistence(self._core, leader, recorder)
+        await persistence.restore()
         while not term.over:
             until = self._core.clock() + c.SAVE_EVERY_S
             while self._core.clock() < until and not term.over:
                 await trio.sleep(c.MONEY_EVERY_S)
-                recorder.money.sample(leader.cluster.machines.values(), self._core.clock())
+                recorder.costs.charge(leader.cluster.machines.values(), self._core.clock())
             try:
-                await saving.save()
+                await persistence.save()
             except (Away, Unsure) as error:
                 log.debug("time lines are saved later: %s", error)
--- a/pepperlatch/console/formatting.py
+++ b/pepperlatch/console/formatting.py
@@ -17,13 +17,13 @@
 MACHINE_COLUMNS = ("machine", "type", "zone", "kind", "state", "why", "tasks", "used", "silent")
 TEAM_COLUMNS = ("team", "CPUs used", "guaranteed", "limit", "GPUs used", "guaranteed", "limit", "not seen yet")
 EVENT_COLUMNS = ("at", "what", "machine", "text")
-LINE_COLUMNS = ("at", "for", "what", "text", "machine")
+TIMELINE_COLUMNS = ("at", "for", "what", "text", "machine")
 WAIT_COLUMNS = ("why", "jobs", "tasks", "longest", "it ends when")
 RECOVERY_COLUMNS = ("lost through", "tasks", "run again", "still waiting", "median", "longest")
 MONEY_COLUMNS = ("what", "spent", "share")
 
 _UNITS = (("d", 86400, "h", 3600), ("h", 3600, "min", 60), ("min", 60, "s", 1))
-_RANKS = {priority.value: rank for priority, rank in RANK.items()}
+_PRIORITY_RANKS = {priority.value: rank for priority, rank in RANK.items()}
 
 
 def duration_text(seconds: float | None) -> str:
@@ -59,7 +59,12 @@
 
 def urgency_key(row: JobRow) -> tuple[Any, ...]:
     """Waiting before running, urgent before the rest, long waits first."""
-    return (row.waiting == 0 and row.state != "queued", _RANKS.get(row.priority, len(Priority)), row.since, row.id)
+    return (
+        row.waiting == 0 and row.state != "queued",
+        _PRIORITY_RANKS.get(row.priority, len(Priority)),
+        row.since,
+        row.id,
+    )
 
 
 def reason_text(row: JobRow, now: float) -> str:
@@ -77,7 +82,7 @@
 
 
 @dataclass(slots=True)
-class Group:
+class ReasonGroup:
     """Jobs that wait for the same reason."""
 
     why: str
@@ -92,12 +97,14 @@
         return changes_when(self.why)
 
 
-def groups(found: Iterable[JobRow]) -> list[Group]:
+def group_by_reason(found: Iterable[JobRow]) -> list[ReasonGroup]:
     """By reason: where most urgent work waits first, what runs last."""
     by_why: dict[str, list[JobRow]] = defaultdict(list)
     for row in sorted(found, key=urgency_key):
         by_why[row.why].append(row)
-    return sorted((Group(why, rows) for why, rows in by_why.items()), key=lambda group: urgency_key(group.rows[0]))
+    return sorted(
+        (ReasonGroup(why, rows) for why, rows in by_why.items()), key=lambda group: urgency_key(group.rows[0])
+    )
 
 
 def wait_cells(waits: Sequence[dict[str, Any]], now: float) -> list[list[str]]:
@@ -140,24 +147,24 @@
     return [[time_text(e["at"], zone), e["what"], e.get("machine", ""), e["text"]] for e in events]
 
 
-def line_cells(line: Sequence[dict[str, Any]], zone: tzinfo | None, now: float) -> list[list[str]]:
+def timeline_cells(line: Sequence[dict[str, Any]], zone: tzinfo | None, now: float) -> list[list[str]]:
     """A time line; a reason's span lasts until the next one, or what made it end."""
     cells = []
     for n, event in enumerate(line):
         ends = next((e["at"] for e in line[n + 1 :] if e["what"] in ("reason", "over", "gap")), now)
         lasted = duration_text(ends - event["at"]) if event["what"] in ("reason", "waits") else ""
         count = event.get("count", 1)
-        what = _WORDS.get(event["what"], event["what"])
+        what = _EVENT_LABELS.get(event["what"], event["what"])
         what = f"{count} x {what}" if count > 1 and event["what"] in ("started", "ended") else what
         text = f"{count} records" if event["what"] == "squeezed" else event.get("text", "")
         cells.append([time_text(event["at"], zone), lasted, what, text, event.get("subject", "")])
     return cells
 
 
-_WORDS = {"waits": "waits for others", "reason": "waits or runs", "squeezed": "left out"}
+_EVENT_LABELS = {"waits": "waits for others", "reason": "waits or runs", "squeezed": "left out"}
 
 
-def order_text(order: dict[str, Any] | None) -> str:
+def queue_position_text(order: dict[str, Any] | None) -> str:
     """Whose jobs are before one without a place."""
     if order is None:
         return ""
--- a/pepperlatch/console/metrics.py
+++ b/pepperlatch/console/metrics.py
@@ -19,28 +19,36 @@
 if TYPE_CHECKING:
     from pepperlatch.controller.leader import Leader
 
-KIND = "text/plain; version=0.0.4; charset=utf-8"
-Leads = tuple["Leader", Recorder] | None
+CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+LeaderAndRecorder = tuple["Leader", Recorder] | None
 
 
 class Collector:
     """Reads everything at the moment of the scrape; a node that does not lead has only what is its own."""
 
-    def __init__(self, core: ExtensionContext, leads: Leads) -> None:
+    def __init__(self, core: ExtensionContext, leader_and_recorder: LeaderAndRecorder) -> None:
         self._core = core
         leader = core.current_leader()
-        self._leads = leads if leads is not None and leads[0] is leader and not leads[0].term.over else None
+        self._leader_and_recorder = (
+            leader_and_recorder
+            if leader_and_recorder is not None
+            and leader_and_recorder[0] is leader
+            and not leader_and_recorder[0].term.over
+            else None
+        )
 
     def collect(self) -> Iterator[Metric]:
         node = self._core.settings.node
         yield _gauge("pepperlatch_info", "Version of this node", ("node", "version"), {(node, __version__): 1})
-        yield _gauge("pepperlatch_leads", "1 on the node that leads", (), {(): float(self._leads is not None)})
+        yield _gauge(
+            "pepperlatch_leads", "1 on the node that leads", (), {(): float(self._leader_and_recorder is not None)}
+        )
         reachable = float(self._core.state.reachable())
         yield _gauge("pepperlatch_state_service_up", "1 if the state service answers this node", (), {(): reachable})
-        if self._leads is not None:
-            yield from self._of_leader(*self._leads)
+        if self._leader_and_recorder is not None:
+            yield from self._leader_metrics(*self._leader_and_recorder)
 
-    def _of_leader(self, leader: "Leader", recorder: Recorder) -> Iterator[Metric]:
+    def _leader_metrics(self, leader: "Leader", recorder: Recorder) -> Iterator[Metric]:
         cluster = leader.cluster
         jobs: Counter[tuple[str, ...]] = Counter()
         tasks: Counter[tuple[str, ...]] = Counter()
@@ -67,17 +75,17 @@
         yield _gauge("pepperlatch_team_cpus", "CPUs that a team's tasks use", ("team",), used)
         most = {(name,): team.cpus_max for name, team in cluster.quota.teams.items()}
         yield _gauge("pepperlatch_team_cpus_limit", "CPUs that a team may use", ("team",), most)
-        yield from self._counted(recorder, leader)
+        yield from self._counters(recorder, leader)
 
-    def _counted(self, recorder: Recorder, leader: "Leader") -> Iterator[Metric]:
-        recorder.money.sample(leader.cluster.machines.values(), leader.clock())
+    def _counters(self, recorder: Recorder, leader: "Leader") -> Iterator[Metric]:
+        recorder.costs.charge(leader.cluster.machines.values(), leader.clock())
         spent = CounterMetricFamily("pepperlatch_spent", "Money since this node leads", labels=("type", "kind"))
-        for (name, kind), cost in sorted(recorder.money.by_machine.items()):
+        for (name, kind), cost in sorted(recorder.costs.by_machine.items()):
             spent.add_metric((name, kind), cost)
         yield spent
         text = "Tasks that ended undone since this node leads"
         lost = CounterMetricFamily("pepperlatch_tasks_lost", text, labels=("cause",))
-        for row in recorder.recoveries.shown():
+        for row in recorder.recoveries.summary():
             lost.add_metric((row["cause"],), row["lost"])
         yield lost
 
@@ -89,8 +97,8 @@
     return gauge
 
 
-def exposed(core: ExtensionContext, leads: Leads) -> tuple[str, bytes]:
+def render_metrics(core: ExtensionContext, leader_and_recorder: LeaderAndRecorder) -> tuple[str, bytes]:
     """Content type and text of one scrape."""
     registry = CollectorRegistry()
-    registry.register(Collector(core, leads))
-    return KIND, generate_latest(registry)
+    registry.register(Collector(core, leader_and_recorder))
+    return CONTENT_TYPE, generate_latest(registry)
--- a/pepperlatch/console/persistence.py
+++ b/pepperlatch/console/persistence.py
@@ -11,7 +11,7 @@
 import msgspec
 import trio
 
-from pepperlatch.console.history import Foreign, What
+from pepperlatch.console.history import EventKind, UnreadableHistory
 from pepperlatch.console.recorder import Recorder
 from pepperlatch.constants import console as c
 from pepperlatch.constants import core
@@ -34,17 +34,17 @@
     text: str
 
 
-class Saving:
+class TimelinePersistence:
     def __init__(self, core: ExtensionContext, leader: "Leader", recorder: Recorder) -> None:
         self._core = core
         self._leader = leader
         self._recorder = recorder
-        self._number = 0
-        self._saved = -1  # of `recorder.changed`
+        self._save_number = 0
+        self._saved_count = -1  # of `recorder.changed`
         self._first_slot = 0
         limits = core.settings.params.state
-        self._piece = int(limits.value_kb * 1024) - core_slack()
-        self._pieces = max(1, min(c.SAVE_VALUES, limits.txn_ops))
+        self._piece_bytes = int(limits.value_kb * 1024) - value_overhead_bytes()
+        self._max_pieces = max(1, min(c.SAVE_VALUES, limits.txn_ops))
 
     # --- taking over --------------------------------------------------------------------------------
 
@@ -58,46 +58,46 @@
                 await trio.sleep(c.SAVE_POLL_S)
         else:
             return
-        found = sorted(_savings(pairs), key=lambda saving: saving[0], reverse=True)
+        found = sorted(_complete_saves(pairs), key=lambda saving: saving[0], reverse=True)
         if found:
             self._first_slot = 1 - found[0][1]  # the newest stays until a newer is whole
         for _, slot, packed in found:
             try:
-                count = self._recorder.history.take_over(packed, self._recorder.began)
-            except Foreign as error:
+                count = self._recorder.history.merge_saved(packed, self._recorder.started_at)
+            except UnreadableHistory as error:
                 log.info("time lines in slot %d are left: %s", slot, error)
                 continue
-            self._end_what_ended()
+            self._close_ended_timelines()
             log.info("time lines of %d jobs taken over", count)
             return
-        self._recorder.history.take_over(None, self._recorder.began)
+        self._recorder.history.merge_saved(None, self._recorder.started_at)
 
-    def _end_what_ended(self) -> None:
+    def _close_ended_timelines(self) -> None:
         """What became of jobs that ended while nobody wrote their line."""
         history, wall = self._recorder.history, self._core.wall()
-        for job_id in history.unended():
+        for job_id in history.unfinished():
             entry = self._leader.replica.jobs.get(job_id)
             if entry is not None and entry.state in wire.FINAL:
-                history.add(job_id, What.OVER, wall, f"{entry.state.value} before then")
+                history.add(job_id, EventKind.OVER, wall, f"{entry.state.value} before then")
 
     # --- saving -------------------------------------------------------------------------------------
 
     async def save(self) -> None:
         """One saving, piece by piece as the budget has room. Raises Away or Unsure; the slot is then no saving."""
-        changed = self._recorder.changed
-        if changed == self._saved:
+        changed = self._recorder.records_written
+        if changed == self._saved_count:
             return
         unfinished = [job_id for job_id, job in self._leader.cluster.jobs.items() if not job.over]
-        most = self._pieces * self._piece * 3 // 4
+        most = self._max_pieces * self._piece_bytes * 3 // 4
         packed = self._recorder.history.pack(self._core.wall(), most, unfinished)
-        texts = store.cut(base64.b64encode(packed).decode("ascii"), self._piece)
-        slot = (self._first_slot + self._number) % c.SAVE_SLOTS
+        texts = store.cut(base64.b64encode(packed).decode("ascii"), self._piece_bytes)
+        slot = (self._first_slot + self._save_number) % c.SAVE_SLOTS
         for n, text in enumerate(texts):
-            piece = Piece(self._leader.term.token, self._number, len(texts), text)
+            piece = Piece(self._leader.term.token, self._save_number, len(texts), text)
             if not await self._write(f"{PREFIX}{slot}/{n}", piece):
                 return
-        self._number += 1
-        self._saved = changed
+        self._save_number += 1
+        self._saved_count = changed
 
     async def _write(self, key: str, piece: Piece) -> bool:
         """Only while this leader leads, and only when nobody waits for the budget."""
@@ -105,21 +105,21 @@
             await trio.sleep(c.SAVE_POLL_S)
             if self._leader.term.over:
                 return False
-        lead = wire.when(store.LEADER, self._leader.term.token)
+        leader_condition = wire.when(store.LEADER, self._leader.term.token)
         try:
-            outcome = await self._core.state.txn([lead], [wire.put(key, wire.to_plain(piece))])
+            outcome = await self._core.state.txn([leader_condition], [wire.put(key, wire.to_plain(piece))])
         except Refused as error:
             log.info("time lines cannot be saved: %s", error)
             return False
         return outcome.applied
 
 
-def core_slack() -> int:
+def value_overhead_bytes() -> int:
     """Bytes of a value that are not the piece's text."""
     return core.VALUE_SLACK_BYTES + 96
 
 
-def _savings(pairs: list[wire.KeyValue]) -> list[tuple[tuple[int, int], int, bytes]]:
+def _complete_saves(pairs: list[wire.KeyValue]) -> list[tuple[tuple[int, int], int, bytes]]:
     """Whole savings: when they were made (token, number), their slot, and what they hold."""
     slots: dict[int, dict[int, Piece]] = {}
     for pair in pairs:
@@ -128,10 +128,10 @@
             slots.setdefault(int(slot), {})[int(number)] = wire.convert(pair.value, Piece)
         except (ValueError, msgspec.ValidationError) as error:
             log.info("%s is left: %s", pair.key, error)
-    return [whole for slot, pieces in slots.items() if (whole := _whole(slot, pieces)) is not None]
+    return [whole for slot, pieces in slots.items() if (whole := _assemble_save(slot, pieces)) is not None]
 
 
-def _whole(slot: int, pieces: dict[int, Piece]) -> tuple[tuple[int, int], int, bytes] | None:
+def _assemble_save(slot: int, pieces: dict[int, Piece]) -> tuple[tuple[int, int], int, bytes] | None:
     first: Any = pieces.get(0)
     if first is None or not 1 <= first.of <= c.SAVE_VALUES:
         return None
--- a/pepperlatch/console/poller.py
+++ b/pepperlatch/console/poller.py
@@ -43,12 +43,12 @@
         self._selection = selection
         self._on_update = on_update
         self._wake = trio.Event()
-        self._looked_at = float("-inf")
+        self._overview_at = float("-inf")
 
     def select(self, selection: Selection) -> None:
         """Look at something else, at once. In the feed's own thread."""
         self._selection = selection
-        self._looked_at = float("-inf")
+        self._overview_at = float("-inf")
         self._wake.set()
 
     async def run(self) -> None:
@@ -67,9 +67,9 @@
         listing: list[dict[str, Any]] = []
         try:
             await view_copy.apply_changes()
-            if trio.current_time() - self._looked_at >= c.OVERVIEW_S:
+            if trio.current_time() - self._overview_at >= c.OVERVIEW_S:
                 await view_copy.load_overview()
-                self._looked_at = trio.current_time()
+                self._overview_at = trio.current_time()
             if selection.view == "job" and selection.job:
                 detail = await view_copy.fetch_job(selection.job)
             elif selection.view in ("machines", "events"):
--- a/pepperlatch/console/recorder.py
+++ b/pepperlatch/console/recorder.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from pepperlatch.console.accounting import Money, Recoveries
-from pepperlatch.console.history import Event, History, What
+from pepperlatch.console.accounting import CostAccounting, Recoveries
+from pepperlatch.console.history import Event, EventKind, History
 from pepperlatch.constants import console as c
 from pepperlatch.policy.model import Attempt, Job, Machine
 from pepperlatch.protocol import wire
@@ -14,7 +14,7 @@
 Clock = Callable[[], float]
 
 
-class Occurrence(msgspec.Struct, omit_defaults=True):
+class ClusterEvent(msgspec.Struct, omit_defaults=True):
     """Of a machine or of the whole service. `at`: time of day, s."""
 
     at: float
@@ -28,34 +28,34 @@
 
     def __init__(
         self, clock: Clock, wall: Clock, accepted_at: Callable[[str], float],
-        over: Callable[[str, list[Event]], None] | None = None,
+        on_job_over: Callable[[str, list[Event]], None] | None = None,
     ) -> None:  # fmt: skip
-        """`over` is handed the line of each job that ends."""
+        """`on_job_over` is handed the line of each job that ends."""
         now = clock()
         self._clock, self._wall = clock, wall
         self._accepted_at = accepted_at
-        self._over = over
-        self.began = wall()  # time of day
-        self.history = History(float(int(self.began - c.BEFORE_S)))
-        self.money = Money(now, now)
+        self._on_job_over = on_job_over
+        self.started_at = wall()  # time of day
+        self.history = History(float(int(self.started_at - c.BEFORE_S)))
+        self.costs = CostAccounting(now, now)
         self.recoveries = Recoveries()
-        self.events: deque[Occurrence] = deque(maxlen=c.EVENTS_KEPT)
+        self.events: deque[ClusterEvent] = deque(maxlen=c.EVENTS_KEPT)
         self.dirty: set[str] | None = None  # rows to be made anew; None while nobody looks
-        self.changed = 0  # records written; tells whether there is something new to save
+        self.records_written = 0  # records written; tells whether there is something new to save
 
-    def _at(self, now: float) -> float:
+    def _time_of_day(self, now: float) -> float:
         return self._wall() + now - self._clock()
 
-    def _record(self, job_id: str, what: What, now: float, text: str = "", subject: str = "") -> None:
-        self.history.add(job_id, what, self._at(now), text, subject)
-        self.changed += 1
+    def _record(self, job_id: str, what: EventKind, now: float, text: str = "", subject: str = "") -> None:
+        self.history.add(job_id, what, self._time_of_day(now), text, subject)
+        self.records_written += 1
         if self.dirty is not None:
             self.dirty.add(job_id)
 
     # --- the listener -----------------------------------------------------------------------------
 
     def explained(self, job: Job, now: float) -> None:
-        self._record(job.spec.id, What.REASON, now, job.reason.text())
+        self._record(job.spec.id, EventKind.REASON, now, job.reason.text())
 
     def placed(self, attempt: Attempt, now: float) -> None:
         if self.dirty is not None:
@@ -63,25 +63,25 @@
 
     def started(self, attempt: Attempt, now: float) -> None:
         self.recoveries.started(attempt, now)
-        self._record(attempt.job.spec.id, What.STARTED, now, subject=attempt.machine.name)
+        self._record(attempt.job.spec.id, EventKind.STARTED, now, subject=attempt.machine.name)
 
     def ended(self, attempt: Attempt, cause: str, now: float) -> None:
         if cause == "not sent":
             return
-        self.money.ended(attempt, cause, now)
+        self.costs.ended(attempt, cause, now)
         self.recoveries.ended(attempt, cause, now)
-        self._record(attempt.job.spec.id, What.ENDED, now, cause, attempt.machine.name)
+        self._record(attempt.job.spec.id, EventKind.ENDED, now, cause, attempt.machine.name)
 
     def job(self, job_id: str, what: str, now: float) -> None:
         if what in (state.value for state in wire.FINAL):
-            self.recoveries.over(job_id)
-            self._record(job_id, What.OVER, now, what)
-            if self._over is not None:
-                self._over(job_id, self.history.line(job_id))
+            self.recoveries.job_ended(job_id)
+            self._record(job_id, EventKind.OVER, now, what)
+            if self._on_job_over is not None:
+                self._on_job_over(job_id, self.history.timeline(job_id))
             return
         if job_id not in self.history:
-            self.history.add(job_id, What.ACCEPTED, self._accepted_at(job_id))
-        stage = What.WAITS if what == "waits" else What.READY
+            self.history.add(job_id, EventKind.ACCEPTED, self._accepted_at(job_id))
+        stage = EventKind.WAITS if what == "waits" else EventKind.READY
         if not self.history.has(job_id, stage):  # a new leader hears of it once more
             self._record(job_id, stage, now)
         elif self.dirty is not None:
@@ -89,7 +89,7 @@
 
     def machine(self, machine: Machine, what: str, why: str, now: float) -> None:
         kind = f"{machine.type.name} {'spot ' if machine.spot else ''}in {machine.zone}"
-        self.events.append(Occurrence(self._at(now), what, f"{kind}: {why}" if why else kind, machine.name))
+        self.events.append(ClusterEvent(self._time_of_day(now), what, f"{kind}: {why}" if why else kind, machine.name))
 
     def noted(self, what: str, text: str, now: float) -> None:
-        self.events.append(Occurrence(self._at(now), what, text))
+        self.events.append(ClusterEvent(self._time_of_day(now), what, text))
--- a/pepperlatch/console/report.py
+++ b/pepperlatch/console/report.py
@@ -12,7 +12,7 @@
 from jinja2 import Environment, FileSystemLoader, StrictUndefined
 
 from pepperlatch.console import formatting
-from pepperlatch.console.formatting import Group
+from pepperlatch.console.formatting import ReasonGroup
 from pepperlatch.console.public import Redactor
 from pepperlatch.console.rows import JobRow
 from pepperlatch.console.view_copy import ViewCopy
@@ -53,7 +53,7 @@
 
 def for_members(content: Content, redactor: Redactor) -> Content:
     """No machines, teams, money, events or time lines; names as `redactor` allows."""
-    shown = redactor.rows([msgspec.to_builtins(row) for row in content.rows])
+    shown = redactor.redact_rows([msgspec.to_builtins(row) for row in content.rows])
     overview = {name: content.overview[name] for name in ("states", "waits") if name in content.overview}
     return Content(content.head, msgspec.convert(shown, list[JobRow]), overview, content.stale, content.left_out)
 
@@ -71,7 +71,7 @@
     marks: tuple[tuple[str, float], ...] = ()  # what else is drawn on it: name and place
 
 
-def wait_bars(groups: Sequence[Group]) -> list[Bar]:
+def wait_bars(groups: Sequence[ReasonGroup]) -> list[Bar]:
     waiting = [group for group in groups if group.tasks]
     most = max((group.tasks for group in waiting), default=1)
     return [
@@ -99,13 +99,13 @@
 # --- the page -------------------------------------------------------------------------------------
 
 
-def _environment() -> Environment:
-    made = Environment(
+def _template_environment() -> Environment:
+    environment = Environment(
         loader=FileSystemLoader(TEMPLATES), autoescape=True, undefined=StrictUndefined, trim_blocks=True,
         lstrip_blocks=True,
     )  # fmt: skip
-    made.filters["span"] = formatting.duration_text
-    return made
+    environment.filters["span"] = formatting.duration_text
+    return environment
 
 
 def render(content: Content, zone: tzinfo | None, title: str = "pepperlatch") -> str:
@@ -113,8 +113,8 @@
     script = (TEMPLATES / "search.js").read_text("utf-8")
     digest = base64.b64encode(hashlib.sha256(script.encode("utf-8")).digest()).decode("ascii")
     now = content.head.get("at") or 0.0
-    found = formatting.groups(content.rows)
-    return _environment().get_template("report.html.j2").render(
+    found = formatting.group_by_reason(content.rows)
+    return _template_environment().get_template("report.html.j2").render(
         title=title,
         now=now,
         moment=lambda at: formatting.time_text(at, zone),
@@ -128,8 +128,8 @@
         machine_bars=machine_bars(content.overview.get("machines", [])),
         reason=lambda row: formatting.reason_text(row, now),
         tables=_tables(content, zone, now),
-        lines=[(row, detail, formatting.line_cells(detail["line"], zone, now)) for row, detail in content.lines],
-        order_text=formatting.order_text,
+        lines=[(row, detail, formatting.timeline_cells(detail["line"], zone, now)) for row, detail in content.lines],
+        order_text=formatting.queue_position_text,
         script=script,
         script_hash=digest,
     )  # fmt: skip
--- a/pepperlatch/console/rows.py
+++ b/pepperlatch/console/rows.py
@@ -14,10 +14,10 @@
 from pepperlatch.policy.reasons import Why
 from pepperlatch.protocol.wire import RANK, JobState, Priority
 
-_SPELLED = {"job_class": "class"}
+_OUTER_NAMES = {"job_class": "class"}
 
 
-class JobRow(msgspec.Struct, omit_defaults=True, rename=_SPELLED, gc=False):
+class JobRow(msgspec.Struct, omit_defaults=True, rename=_OUTER_NAMES, gc=False):
     """One job as both faces show it. Times of day in s; `until`: about when the reason may change."""
 
     id: str
@@ -47,21 +47,21 @@
     "state": (*(s.value for s in JobState), "unfinished"),
     "why": tuple(w.value for w in Why),
 }
-OVER = frozenset((JobState.DONE.value, JobState.CANCELLED.value))
+FINAL_STATES = frozenset((JobState.DONE.value, JobState.CANCELLED.value))
 _QUEUED = JobState.QUEUED.value
-_RANKS = {priority.value: rank for priority, rank in RANK.items()}
-_SORTS: dict[str, Callable[[JobRow], Any]] = {
+_PRIORITY_RANKS = {priority.value: rank for priority, rank in RANK.items()}
+_SORT_KEYS: dict[str, Callable[[JobRow], Any]] = {
     "since": lambda row: row.since,
     "submitted": lambda row: row.at,
     "id": lambda row: row.id,
     "team": lambda row: row.team,
     "class": lambda row: row.job_class,
-    "priority": lambda row: _RANKS[row.priority] * 1e12 + row.since,
+    "priority": lambda row: _PRIORITY_RANKS[row.priority] * 1e12 + row.since,
     "waiting": lambda row: -row.waiting,
     "due": lambda row: row.due if row.due is not None else 1e18,
 }
-_PLAIN = ("team", "class", "text")
-_NUMBERS = {"page": (1, c.PAGE_MOST), "most": (1000, 1_000_000)}
+_TEXT_FIELDS = ("team", "class", "text")
+_NUMBER_RANGES = {"page": (1, c.PAGE_MOST), "most": (1000, 1_000_000)}
 
 
 class Query(msgspec.Struct, frozen=True):
@@ -78,11 +78,11 @@
     most: int = c.CHANGES_BYTES
     after: str = ""
 
-    def takes(self, row: JobRow) -> bool:
+    def matches(self, row: JobRow) -> bool:
         if self.state == "unfinished":
-            if row.state in OVER:
+            if row.state in FINAL_STATES:
                 return False
-            if self._any():
+            if self._matches_all():
                 return True
         wanted = self.text.lower()
         return (
@@ -94,20 +94,22 @@
             and (not wanted or wanted in row.id.lower() or wanted in row.text.lower())
         )
 
-    def _any(self) -> bool:
+    def _matches_all(self) -> bool:
         return not (self.team or self.job_class or self.priority or self.why or self.text)
 
-    def key(self, row: JobRow) -> tuple[Any, str]:
-        return _SORTS[self.sort](row), row.id
+    def sort_key(self, row: JobRow) -> tuple[Any, str]:
+        return _SORT_KEYS[self.sort](row), row.id
 
-    def pairs(self) -> dict[str, Any]:
+    def non_default_fields(self) -> dict[str, Any]:
         """What differs from the default, as a query string names it."""
         defaults = Query()
         found = {name: getattr(self, name) for name in self.__struct_fields__}
-        return {_SPELLED.get(name, name): value for name, value in found.items() if value != getattr(defaults, name)}
+        return {
+            _OUTER_NAMES.get(name, name): value for name, value in found.items() if value != getattr(defaults, name)
+        }
 
-    def path(self, path: str, **more: Any) -> str:
-        pairs = {**self.pairs(), **more}
+    def request_path(self, path: str, **more: Any) -> str:
+        pairs = {**self.non_default_fields(), **more}
         return f"{path}?{urlencode(pairs)}" if pairs else path
 
 
@@ -116,45 +118,45 @@
     return [msgspec.to_builtins(row) for row in found]
 
 
-def over(row: JobRow) -> bool:
-    return row.state in OVER
+def is_final(row: JobRow) -> bool:
+    return row.state in FINAL_STATES
 
 
-def parse(text: str, known: Iterable[str] = ()) -> tuple[Query, dict[str, str]]:
-    """A query string; fields in `known` are handed back as they are. Raises BadQuery naming the field."""
+def parse_query(text: str, extra_fields: Iterable[str] = ()) -> tuple[Query, dict[str, str]]:
+    """A query string; fields in `extra_fields` are handed back as they are. Raises BadQuery naming the field."""
     fields: dict[str, Any] = {}
     rest: dict[str, str] = {}
     for name, value in parse_qsl(text, keep_blank_values=True):
-        if name in known:
+        if name in extra_fields:
             rest[name] = value
         elif name in _CHOICES:
-            fields[name] = _chosen(name, value, _CHOICES[name])
+            fields[name] = _parse_choice(name, value, _CHOICES[name])
         elif name == "sort":
-            fields[name] = _chosen(name, value, tuple(_SORTS))
-        elif name in _NUMBERS:
-            fields[name] = _number(name, value, *_NUMBERS[name])
-        elif name in _PLAIN or name == "after":
+            fields[name] = _parse_choice(name, value, tuple(_SORT_KEYS))
+        elif name in _NUMBER_RANGES:
+            fields[name] = _parse_number(name, value, *_NUMBER_RANGES[name])
+        elif name in _TEXT_FIELDS or name == "after":
             fields["job_class" if name == "class" else name] = value
         else:
             raise BadQuery(f"{name}: no such field")
     return Query(**fields), rest
 
 
-def _chosen(name: str, value: str, among: tuple[str, ...]) -> str:
-    if value not in ("", *among):
-        raise BadQuery(f"{name}: must be one of {', '.join(among)}")
+def _parse_choice(name: str, value: str, choices: tuple[str, ...]) -> str:
+    if value not in ("", *choices):
+        raise BadQuery(f"{name}: must be one of {', '.join(choices)}")
     return value or ("since" if name == "sort" else "")
 
 
-def _number(name: str, value: str, least: int, most: int) -> int:
+def _parse_number(name: str, value: str, least: int, most: int) -> int:
     if not value.isdecimal() or not least <= int(value[:12]) <= most:
         raise BadQuery(f"{name}: must be a number from {least} to {most}")
     return int(value)
 
 
-def found(rows: Iterable[JobRow], query: Query) -> list[JobRow]:
+def select(rows: Iterable[JobRow], query: Query) -> list[JobRow]:
     """All rows that the query asks for, in its order."""
-    return sorted(filter(query.takes, rows), key=query.key)
+    return sorted(filter(query.matches, rows), key=query.sort_key)
 
 
 def page(found: list[JobRow], query: Query) -> tuple[list[JobRow], str]:
@@ -162,16 +164,16 @@
     start = 0
     if query.after:
         try:
-            start = bisect_right(found, _cursor(query.after), key=query.key)
+            start = bisect_right(found, _decode_cursor(query.after), key=query.sort_key)
         except TypeError:
             raise BadQuery("after: of a page in another order") from None
     shown = found[start : start + query.page]
     if start + len(shown) >= len(found):
         return shown, ""
-    return shown, base64.urlsafe_b64encode(orjson.dumps(query.key(shown[-1]))).decode("ascii")
+    return shown, base64.urlsafe_b64encode(orjson.dumps(query.sort_key(shown[-1]))).decode("ascii")
 
 
-def _cursor(text: str) -> tuple[Any, str]:
+def _decode_cursor(text: str) -> tuple[Any, str]:
     try:
         value, job_id = orjson.loads(base64.urlsafe_b64decode(text.encode("ascii")))
     except (ValueError, TypeError, binascii.Error):
--- a/pepperlatch/console/terminal.py
+++ b/pepperlatch/console/terminal.py
@@ -19,11 +19,11 @@
 
 from pepperlatch.console import formatting
 from pepperlatch.console.poller import Poller, Selection, ViewState
-from pepperlatch.console.rows import BadQuery, Query, parse
+from pepperlatch.console.rows import BadQuery, Query, parse_query
 from pepperlatch.constants import console as c
 
 PollerFactory = Callable[[Callable[[ViewState], None]], Poller]
-NARROW = 110  # columns; below that a job's row has only what is needed most
+NARROW_BELOW_COLUMNS = 110  # columns; below that a job's row has only what is needed most
 _VIEWS = ("overview", "jobs", "job", "machines", "teams", "events")
 
 
@@ -39,15 +39,15 @@
             raise BadQuery(f"{name}: no such field; team, class, priority, state, why, or words")
         else:
             words.append(word)
-    parsed, _ = parse(urlencode({"state": "unfinished", **fields, "text": " ".join(words)}))
+    parsed, _ = parse_query(urlencode({"state": "unfinished", **fields, "text": " ".join(words)}))
     return msgspec.structs.replace(parsed, page=page, most=c.CONSOLE_BYTES)
 
 
 class Table(DataTable[Text]):
     """Rows are replaced whole; the cursor stays with its row."""
 
-    def fill(self, columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
-        key = self.current()
+    def replace_rows(self, columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
+        key = self.current_key()
         if [str(column.label) for column in self.columns.values()] != list(columns):
             self.clear(columns=True)
             for column in columns:
@@ -59,7 +59,7 @@
         if key and (at := next((n for n, row in enumerate(rows) if row[0] == key), None)) is not None:
             self.move_cursor(row=at, animate=False)
 
-    def current(self) -> str:
+    def current_key(self) -> str:
         """The first cell of the row under the cursor."""
         if not self.row_count:
             return ""
@@ -67,7 +67,7 @@
 
 
 class ConsoleApp(App[None]):
-    """`want` tells the feed what to look at; `show` takes what it sees."""
+    """`on_select` tells the feed what to look at; `show` takes what it sees."""
 
     CSS = """
     Screen { overflow: hidden; }
@@ -88,13 +88,13 @@
     ]
 
     def __init__(
-        self, want: Callable[[Selection], None], zone: tzinfo | None = None, selection: Selection | None = None
+        self, on_select: Callable[[Selection], None], zone: tzinfo | None = None, selection: Selection | None = None
     ) -> None:
         super().__init__()
-        self._want = want
+        self._on_select = on_select
         self._zone = zone
         self._selection = selection or Selection(parse_filter(""))
-        self._last: ViewState | None = None
+        self._last_state: ViewState | None = None
 
     def compose(self) -> ComposeResult:
         yield Static("asking ...", id="head", markup=False)
@@ -115,7 +115,7 @@
     def action_view(self, view: str) -> None:
         self.query_one("#views", TabbedContent).active = view
         self._table(view).focus()  # a hidden one that keeps it would bring its own view back
-        self._look(view)
+        self._select_view(view)
 
     def action_filter(self) -> None:
         self.action_view("jobs")
@@ -127,7 +127,7 @@
 
     def on_tabbed_content_tab_activated(self, event: TabbedContent.TabActivated) -> None:
         if event.pane.id and event.pane.id != self._selection.view:
-            self._look(event.pane.id)
+            self._select_view(event.pane.id)
 
     def on_input_submitted(self, event: Input.Submitted) -> None:
         try:
@@ -136,26 +136,26 @@
             self.query_one("#words-jobs", Static).update(str(error))
             return
         self._selection = Selection(query, "jobs", self._selection.job)
-        self._want(self._selection)
+        self._on_select(self._selection)
         self._table("jobs").focus()
 
     def on_data_table_row_highlighted(self, event: DataTable.RowHighlighted) -> None:
-        if event.data_table.id == "table-jobs" and self._last is not None:
-            job = self._table("jobs").current()
-            row = next((row for row in self._last.rows if row.id == job), None)
-            self.query_one("#whole", Static).update(formatting.reason_text(row, self._last.now) if row else "")
+        if event.data_table.id == "table-jobs" and self._last_state is not None:
+            job = self._table("jobs").current_key()
+            row = next((row for row in self._last_state.rows if row.id == job), None)
+            self.query_one("#whole", Static).update(formatting.reason_text(row, self._last_state.now) if row else "")
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
         table = event.data_table
-        if table.id == "table-jobs" and isinstance(table, Table) and (job := table.current()):
+        if table.id == "table-jobs" and isinstance(table, Table) and (job := table.current_key()):
             self._selection = Selection(self._selection.query, "job", job)
             self.action_view("job")
 
-    def _look(self, view: str) -> None:
+    def _select_view(self, view: str) -> None:
         self._selection = Selection(self._selection.query, view, self._selection.job)
-        self._want(self._selection)
-        if self._last is not None:
-            self.show(self._last)
+        self._on_select(self._selection)
+        if self._last_state is not None:
+            self.show(self._last_state)
 
     # --- what is shown ----------------------------------------------------------------------------
 
@@ -164,20 +164,20 @@
 
     def show(self, view_state: ViewState) -> None:
         """Called in the terminal's own thread."""
-        self._last = view_state
-        self.query_one("#head", Static).update(_head(view_state, self._zone))
+        self._last_state = view_state
+        self.query_one("#head", Static).update(_header_text(view_state, self._zone))
         self.query_one("#stale", Static).update(f"STALE: {view_state.stale}" if view_state.stale else "")
         if view_state.head:
             words, columns, rows = self._content(view_state)
             self.query_one(f"#words-{self._selection.view}", Static).update(words)
-            self._table(self._selection.view).fill(columns, rows)
+            self._table(self._selection.view).replace_rows(columns, rows)
 
     def _content(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
         view, overview = self._selection.view, view_state.overview
         if view == "jobs":
-            return self._jobs(view_state)
+            return self._jobs_content(view_state)
         if view == "job":
-            return self._job(view_state)
+            return self._job_content(view_state)
         if view == "machines":
             counts = formatting.machine_counts(overview.get("machines", []))
             words = ", ".join(f"{count} {state}" for state, count in counts.items())
@@ -189,31 +189,31 @@
         waits = formatting.wait_cells(overview.get("waits", []), view_state.now)
         return formatting.headline(overview), formatting.WAIT_COLUMNS, waits
 
-    def _jobs(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
+    def _jobs_content(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
         found = view_state.rows[: c.ROWS_SHOWN]
         more = len(view_state.rows) - len(found)
         words = f"{len(view_state.rows)} jobs" + (f", the first {len(found)} shown: filter with /" if more else "")
         if view_state.behind:
             words += "; more has changed than this link is sent, the rest follows"
         rows = [formatting.job_cells(row, view_state.now) for row in found]
-        columns = formatting.JOB_COLUMNS if self.size.width >= NARROW else formatting.NARROW_COLUMNS
+        columns = formatting.JOB_COLUMNS if self.size.width >= NARROW_BELOW_COLUMNS else formatting.NARROW_COLUMNS
         return words, columns, [row[: len(columns)] for row in rows]
 
-    def _job(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
+    def _job_content(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
         if not self._selection.job:
-            return "choose a job with Enter in the list", formatting.LINE_COLUMNS, []
+            return "choose a job with Enter in the list", formatting.TIMELINE_COLUMNS, []
         lines = [f"{self._selection.job}: {view_state.detail.get('state', '...')}"]
         row = next((row for row in view_state.rows if row.id == self._selection.job), None)
         if row is not None:
             lines.append(formatting.reason_text(row, view_state.now))
             lines.append(f"this changes when: {view_state.detail.get('changes_when', '')}")
-        lines.append(formatting.order_text(view_state.detail.get("order")))
+        lines.append(formatting.queue_position_text(view_state.detail.get("order")))
         line = view_state.detail.get("line", [])[-c.LINES_SHOWN :]
-        cells = formatting.line_cells(line, self._zone, view_state.now)
-        return "\n".join(text for text in lines if text), formatting.LINE_COLUMNS, cells
+        cells = formatting.timeline_cells(line, self._zone, view_state.now)
+        return "\n".join(text for text in lines if text), formatting.TIMELINE_COLUMNS, cells
 
 
-def _head(view_state: ViewState, zone: tzinfo | None) -> str:
+def _header_text(view_state: ViewState, zone: tzinfo | None) -> str:
     if not view_state.head:
         return "nobody has answered yet"
     head = view_state.head
@@ -228,37 +228,37 @@
     """
 
     def __init__(self, create_poller: PollerFactory, zone: tzinfo | None, selection: Selection | None = None) -> None:
-        super().__init__(self._tell, zone, selection)
-        self._poller = create_poller(self._take)
-        self._token: Any = None
-        self._over = False
+        super().__init__(self._forward_selection, zone, selection)
+        self._poller = create_poller(self._on_view_state)
+        self._trio_token: Any = None
+        self._unmounted = False
         self.failed: BaseException | None = None
 
     def on_mount(self) -> None:
-        threading.Thread(target=self._follow, daemon=True).start()
+        threading.Thread(target=self._run_poller, daemon=True).start()
 
     def on_unmount(self) -> None:
-        self._over = True
+        self._unmounted = True
 
-    def _tell(self, selection: Selection) -> None:
-        if self._token is not None and self.failed is None:
-            self._token.run_sync_soon(self._poller.select, selection)
+    def _forward_selection(self, selection: Selection) -> None:
+        if self._trio_token is not None and self.failed is None:
+            self._trio_token.run_sync_soon(self._poller.select, selection)
 
-    def _take(self, view_state: ViewState) -> None:
+    def _on_view_state(self, view_state: ViewState) -> None:
         """In the feed's thread. Seen: called before the screen was there, it ended the feed without a word."""
-        if not self._over:
+        if not self._unmounted:
             self.call_from_thread(self.show, view_state)
 
-    def _follow(self) -> None:
+    def _run_poller(self) -> None:
         async def main() -> None:
-            self._token = trio.lowlevel.current_trio_token()
+            self._trio_token = trio.lowlevel.current_trio_token()
             await self._poller.run()
 
         try:
             trio.run(main)
         except BaseException as error:
             self.failed = error
-            if not self._over:
+            if not self._unmounted:
                 self.call_from_thread(self.exit)
 
 
--- a/pepperlatch/console/tracing.py
+++ b/pepperlatch/console/tracing.py
@@ -20,10 +20,10 @@
 from pepperlatch.console.history import Event
 
 log = logging.getLogger("pepperlatch.trace")
-_SPANS = ("reason", "waits", "gap")  # what lasts until the next of these, or the end
+_SPAN_KINDS = ("reason", "waits", "gap")  # what lasts until the next of these, or the end
 
 
-class _OfJob(RandomIdGenerator):
+class _JobTraceIds(RandomIdGenerator):
     """The next trace's id is the job's."""
 
     job_id = ""
@@ -32,51 +32,55 @@
         return int.from_bytes(hashlib.blake2b(self.job_id.encode("utf-8"), digest_size=16).digest(), "big")
 
 
-class _Lines(SpanExporter):
+class _LogExporter(SpanExporter):
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
         for span in spans:
             log.info("%s", span.to_json(indent=None))
         return SpanExportResult.SUCCESS
 
 
-class Traces:
+class JobTracer:
     """`share`: of the jobs, from 0 to 1. Nothing is kept between two jobs."""
 
     def __init__(self, node: str, share: float) -> None:
         log.setLevel(logging.INFO)  # who switches it on wants it at any LOG_LEVEL
-        self._ids = _OfJob()
+        self._ids = _JobTraceIds()
         resource = Resource({"service.name": "pepperlatch", "service.instance.id": node})
         provider = TracerProvider(
             TraceIdRatioBased(share), resource, shutdown_on_exit=False, id_generator=self._ids
         )  # fmt: skip
-        provider.add_span_processor(SimpleSpanProcessor(_Lines()))
+        provider.add_span_processor(SimpleSpanProcessor(_LogExporter()))
         self._tracer = provider.get_tracer("pepperlatch")
 
-    def over(self, job_id: str, line: Sequence[Event]) -> None:
+    def export_job(self, job_id: str, line: Sequence[Event]) -> None:
         """The job's line is whole: a span for the job, one for each reason, and events for starts and ends."""
         if not line:
             return
         self._ids.job_id = job_id
-        root = self._tracer.start_span("job", Context(), start_time=_ns(line[0].at), attributes={"job": job_id})
+        root = self._tracer.start_span(
+            "job", Context(), start_time=_nanoseconds(line[0].at), attributes={"job": job_id}
+        )
         if not root.is_recording():
             return
         end = line[-1].at
         inside = trace.set_span_in_context(root, Context())
         for n, event in enumerate(line):
-            if event.what in _SPANS:
-                until = next((later.at for later in line[n + 1 :] if later.what in (*_SPANS, "over")), end)
-                part = self._tracer.start_span(event.what, inside, start_time=_ns(event.at), attributes=_said(event))
-                part.end(_ns(max(until, event.at)))
+            if event.what in _SPAN_KINDS:
+                until = next((later.at for later in line[n + 1 :] if later.what in (*_SPAN_KINDS, "over")), end)
+                part = self._tracer.start_span(
+                    event.what, inside, start_time=_nanoseconds(event.at), attributes=_attributes(event)
+                )
+                part.end(_nanoseconds(max(until, event.at)))
             else:
-                root.add_event(event.what, _said(event), _ns(event.at))
-        root.end(_ns(end))
+                root.add_event(event.what, _attributes(event), _nanoseconds(event.at))
+        root.end(_nanoseconds(end))
 
 
-def _ns(at: float) -> int:
+def _nanoseconds(at: float) -> int:
     return int(at * 1e9)
 
 
-def _said(event: Event) -> dict[str, str | int]:
+def _attributes(event: Event) -> dict[str, str | int]:
     found: dict[str, str | int] = {"count": event.count}
     if event.text:
         found["text"] = event.text
--- a/pepperlatch/console/view_copy.py
+++ b/pepperlatch/console/view_copy.py
@@ -12,7 +12,7 @@
 import trio
 
 from pepperlatch.console.rows import JobRow, Query
-from pepperlatch.console.service import BASE
+from pepperlatch.console.service import BASE_PATH
 from pepperlatch.constants import console as c
 
 AskFunction = Callable[[str, str], Awaitable[tuple[int, Any]]]
@@ -26,7 +26,7 @@
     """The service answers, and will not show that; the text says why."""
 
 
-_HEAD = ("node", "version", "leader", "token", "revision", "at", "age_s")
+_HEAD_FIELDS = ("node", "version", "leader", "token", "revision", "at", "age_s")
 
 
 @dataclass(slots=True)
@@ -44,36 +44,36 @@
     behind: bool = False  # more has changed than fits one answer
     why_stale: str = ""  # nobody answers, or only a node that does not lead
     answered_at: float = float("-inf")  # steady clock
-    _since: int = -1  # revision; -1: a snapshot is wanted
+    _since_revision: int = -1  # revision; -1: a snapshot is wanted
 
-    async def load_complete(self, most: int = 1_000_000) -> None:
+    async def load_complete(self, max_jobs: int = 1_000_000) -> None:
         """A snapshot once the leader has taken in all that it was told of: it makes few rows at once.
 
         Raises as `load_snapshot`.
         """
         while True:
-            first = await self._get(self.query.path(f"{BASE}/jobs", page=1))
+            first = await self._get(self.query.request_path(f"{BASE_PATH}/jobs", page=1))
             if not first.get("pending"):
-                await self.load_snapshot(most)
+                await self.load_snapshot(max_jobs)
                 if self.head["token"] == first["token"]:  # else another leader begins anew
                     return
             await trio.sleep(c.POLL_S / 2)
 
-    async def load_snapshot(self, most: int = 1_000_000) -> None:
+    async def load_snapshot(self, max_jobs: int = 1_000_000) -> None:
         """Take a snapshot of up to so many jobs. What its leader has not taken in yet comes with the changes.
 
         Raises Silent or Refused.
         """
         for _ in range(c.SNAPSHOT_TRIES):
-            pages = await self._pages(most)
+            pages = await self._load_pages(max_jobs)
             if pages is not None:
                 first, self.rows = pages
-                self._answered(first)
-                self._since = first["revision"] if first["source"] == "leader" else -1
+                self._record_answer(first)
+                self._since_revision = first["revision"] if first["source"] == "leader" else -1
                 return
         raise NoNodeAnswered("the leader changes again and again while its jobs are read")
 
-    async def _pages(self, most: int) -> tuple[dict[str, Any], dict[str, JobRow]] | None:
+    async def _load_pages(self, max_jobs: int) -> tuple[dict[str, Any], dict[str, JobRow]] | None:
         """The first page's head and all rows; None if another leader, or the records, answered in between.
 
         Seen: a page from the records and the next from a leader that had few rows yet were taken for all there is.
@@ -82,55 +82,55 @@
         first: dict[str, Any] = {}
         after = ""
         while True:
-            page = await self._get(self.query.path(f"{BASE}/jobs", **({"after": after} if after else {})))
+            page = await self._get(self.query.request_path(f"{BASE_PATH}/jobs", **({"after": after} if after else {})))
             first = first or page
             if (page["token"], page["source"]) != (first["token"], first["source"]):
                 return None
-            found.update((row.id, row) for row in _rows(page["jobs"]))
+            found.update((row.id, row) for row in _parse_rows(page["jobs"]))
             after = page["next"]
-            if not after or len(found) >= most:
+            if not after or len(found) >= max_jobs:
                 return first, found
 
     async def apply_changes(self) -> None:
         """Take in what has changed; a new snapshot where that cannot be told. Raises Silent or Refused."""
-        if self._since < 0:
+        if self._since_revision < 0:
             await self.load_snapshot()
             return
-        path = self.query.path(f"{BASE}/changes", token=self.head["token"], since=self._since)
+        path = self.query.request_path(f"{BASE_PATH}/changes", token=self.head["token"], since=self._since_revision)
         try:
             status, answer = await self.ask("GET", path)
         except NoNodeAnswered:
             if trio.current_time() - self.answered_at > c.STALE_S:  # by now, records may be all there is
-                self._since = -1
+                self._since_revision = -1
             raise
         if status == 410:
             await self.load_snapshot()
             return
         if status != 200:
-            raise ViewRefused(_said(status, answer))
-        for row in _rows(answer["jobs"]):
+            raise ViewRefused(_error_text(status, answer))
+        for row in _parse_rows(answer["jobs"]):
             self.rows[row.id] = row
         for job_id in answer["gone"]:
             self.rows.pop(job_id, None)
-        self._since, self.behind = answer["upto"], answer["more"]
-        self._answered(answer)
+        self._since_revision, self.behind = answer["upto"], answer["more"]
+        self._record_answer(answer)
 
     def set_query(self, query: Query) -> None:
         """Other jobs from the next step on."""
         if query != self.query:
-            self.query, self._since = query, -1
+            self.query, self._since_revision = query, -1
 
     async def load_overview(self) -> None:
         """Ask for all but the jobs. Raises Silent or Refused."""
-        self.overview = await self._get(f"{BASE}/overview")
+        self.overview = await self._get(f"{BASE_PATH}/overview")
 
     async def fetch_job(self, job_id: str) -> dict[str, Any]:
         """One job with its time line. Raises Silent or Refused."""
-        return await self._get(f"{BASE}/jobs/{job_id}")
+        return await self._get(f"{BASE_PATH}/jobs/{job_id}")
 
     async def fetch_list(self, name: str) -> list[dict[str, Any]]:
         """`machines` or `events`. Raises Silent or Refused."""
-        found: list[dict[str, Any]] = (await self._get(f"{BASE}/{name}"))[name]
+        found: list[dict[str, Any]] = (await self._get(f"{BASE_PATH}/{name}"))[name]
         return found
 
     def stale_reason(self) -> str:
@@ -141,8 +141,8 @@
             return "no answer"
         return ""
 
-    def _answered(self, answer: dict[str, Any]) -> None:
-        self.head = {name: answer.get(name) for name in _HEAD}
+    def _record_answer(self, answer: dict[str, Any]) -> None:
+        self.head = {name: answer.get(name) for name in _HEAD_FIELDS}
         self.answered_at = trio.current_time()
         records = f"from the records at {answer['node']}: {answer.get('why')}"
         self.why_stale = "" if answer["source"] == "leader" else records
@@ -150,16 +150,16 @@
     async def _get(self, path: str) -> dict[str, Any]:
         status, answer = await self.ask("GET", path)
         if status != 200:
-            raise ViewRefused(_said(status, answer))
+            raise ViewRefused(_error_text(status, answer))
         found: dict[str, Any] = answer
         return found
 
 
-def _said(status: int, answer: Any) -> str:
+def _error_text(status: int, answer: Any) -> str:
     return str(answer.get("error", status)) if isinstance(answer, dict) else str(status)
 
 
-def _rows(found: list[Any]) -> list[JobRow]:
+def _parse_rows(found: list[Any]) -> list[JobRow]:
     """Raises Refused if a later version shows what this one cannot read."""
     try:
         return msgspec.convert(found, list[JobRow])
