--- a/pepperlatch/console/picture.py
+++ b/pepperlatch/console/formatting.py
@@ -1,4 +1,7 @@
-"""What both faces show, in words and tables: from the rows to cells. Pure; the zone of the reader is an argument."""
+"""Turns rows and answers into texts and table cells, for the terminal and the report alike. Pure functions.
+
+Parameters named `now` and `at` are times of day in s; `zone` is the reader's time zone, None for the machine's own.
+"""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -17,17 +20,17 @@
 MACHINE_COLUMNS = ("machine", "type", "zone", "kind", "state", "why", "tasks", "used", "silent")
 TEAM_COLUMNS = ("team", "CPUs used", "guaranteed", "limit", "GPUs used", "guaranteed", "limit", "not seen yet")
 EVENT_COLUMNS = ("at", "what", "machine", "text")
-LINE_COLUMNS = ("at", "for", "what", "text", "machine")
+TIMELINE_COLUMNS = ("at", "for", "what", "text", "machine")
 WAIT_COLUMNS = ("why", "jobs", "tasks", "longest", "it ends when")
 RECOVERY_COLUMNS = ("lost through", "tasks", "run again", "still waiting", "median", "longest")
 MONEY_COLUMNS = ("what", "spent", "share")
 
 _UNITS = (("d", 86400, "h", 3600), ("h", 3600, "min", 60), ("min", 60, "s", 1))
-_RANKS = {priority.value: rank for priority, rank in PRIORITY_RANK.items()}
+_PRIORITY_RANKS = {priority.value: rank for priority, rank in PRIORITY_RANK.items()}
 
 
-def span(seconds: float | None) -> str:
-    """`8 s`, `2 min 5 s`, `3 h 20 min`, `2 d 4 h`; empty for None."""
+def duration_text(seconds: float | None) -> str:
+    """A duration such as `8 s`, `2 min 5 s`, `3 h 20 min` or `2 d 4 h`; empty for None."""
     if seconds is None:
         return ""
     whole = max(0, round(seconds))
@@ -38,47 +41,52 @@
     return f"{whole} s"
 
 
-def moment(at: float | None, zone: tzinfo | None) -> str:
-    """Time of day in the reader's zone; None means the machine's own zone."""
+def time_text(at: float | None, zone: tzinfo | None) -> str:
+    """Hours, minutes and seconds in the reader's zone; empty for None."""
     if at is None:
         return ""
     return datetime.fromtimestamp(at, UTC).astimezone(zone).strftime("%H:%M:%S")
 
 
 def zone_name(zone: tzinfo | None, at: float) -> str:
-    """As the reader knows it: the name in the tz database, and what clocks there say now."""
+    """The zone's name in the tz database and its abbreviation at that time."""
     short = datetime.fromtimestamp(at, UTC).astimezone(zone).strftime("%Z")
     key = getattr(zone, "key", "")
     return f"{key} ({short})" if key and key != short else short
 
 
-def day_and_moment(at: float, zone: tzinfo | None) -> str:
-    """With the zone's name, for titles."""
+def date_time_text(at: float, zone: tzinfo | None) -> str:
+    """Date, time and zone name, for titles."""
     return f"{datetime.fromtimestamp(at, UTC).astimezone(zone):%Y-%m-%d %H:%M:%S} {zone_name(zone, at)}"
 
 
-def first_wanted(row: JobRow) -> tuple[Any, ...]:
-    """Waiting before running, urgent before the rest, long waits first."""
-    return (row.waiting == 0 and row.state != "queued", _RANKS.get(row.priority, len(Priority)), row.since, row.id)
+def urgency_key(row: JobRow) -> tuple[Any, ...]:
+    """Sort key: waiting jobs before running ones, then by priority, then the longest wait first."""
+    return (
+        row.waiting == 0 and row.state != "queued",
+        _PRIORITY_RANKS.get(row.priority, len(Priority)),
+        row.since,
+        row.id,
+    )
 
 
 def reason_text(row: JobRow, now: float) -> str:
-    """The core's words; the moment beside them, as a span from now."""
+    """The reason's text, with the time left until it may change."""
     if row.until is None or row.until <= now:
         return row.text
-    return f"{row.text} (about {span(row.until - now)} more)"
+    return f"{row.text} (about {duration_text(row.until - now)} more)"
 
 
 def job_cells(row: JobRow, now: float) -> list[str]:
     return [
-        row.id, row.priority, str(row.waiting), span(now - row.since), reason_text(row, now), row.state, row.team,
-        row.job_class, str(row.running), str(row.done), row.why,
+        row.id, row.priority, str(row.waiting), duration_text(now - row.since), reason_text(row, now), row.state,
+        row.team, row.job_class, str(row.running), str(row.done), row.why,
     ]  # fmt: skip
 
 
 @dataclass(slots=True)
-class Group:
-    """Jobs that wait for the same reason."""
+class ReasonGroup:
+    """Jobs with the same kind of reason, most urgent first."""
 
     why: str
     rows: list[JobRow]
@@ -92,17 +100,25 @@
         return changes_when(self.why)
 
 
-def groups(found: Iterable[JobRow]) -> list[Group]:
-    """By reason: where most urgent work waits first, what runs last."""
+def group_by_reason(found: Iterable[JobRow]) -> list[ReasonGroup]:
+    """Groups jobs by reason: the group with the most urgent waiting job first, running jobs last."""
     by_why: dict[str, list[JobRow]] = defaultdict(list)
-    for row in sorted(found, key=first_wanted):
+    for row in sorted(found, key=urgency_key):
         by_why[row.why].append(row)
-    return sorted((Group(why, rows) for why, rows in by_why.items()), key=lambda group: first_wanted(group.rows[0]))
+    return sorted(
+        (ReasonGroup(why, rows) for why, rows in by_why.items()), key=lambda group: urgency_key(group.rows[0])
+    )
 
 
 def wait_cells(waits: Sequence[dict[str, Any]], now: float) -> list[list[str]]:
     return [
-        [wait["why"], str(wait["jobs"]), str(wait["tasks"]), span(now - wait["since"]), changes_when(wait["why"])]
+        [
+            wait["why"],
+            str(wait["jobs"]),
+            str(wait["tasks"]),
+            duration_text(now - wait["since"]),
+            changes_when(wait["why"]),
+        ]
         for wait in waits
     ]
 
@@ -119,40 +135,40 @@
 
 
 def machine_cells(machines: Iterable[dict[str, Any]]) -> list[list[str]]:
-    """What needs attention first."""
+    """Machines that need attention first."""
     calm = ("busy", "idle", "booting", "joining")
     return [
         [
             m["name"], m["type"], m["zone"], "spot" if m["spot"] else "", m["state"], m["why"], str(m["tasks"]),
-            f"{m['used_share']:.0%}", span(m["silent_s"]),
+            f"{m['used_share']:.0%}", duration_text(m["silent_s"]),
         ]
         for m in sorted(machines, key=lambda m: (m["state"] in calm, m["state"], m["name"]))
     ]  # fmt: skip
 
 
 def event_cells(events: Iterable[dict[str, Any]], zone: tzinfo | None) -> list[list[str]]:
-    return [[moment(e["at"], zone), e["what"], e.get("machine", ""), e["text"]] for e in events]
+    return [[time_text(e["at"], zone), e["what"], e.get("machine", ""), e["text"]] for e in events]
 
 
-def line_cells(line: Sequence[dict[str, Any]], zone: tzinfo | None, now: float) -> list[list[str]]:
-    """A time line; a reason's span lasts until the next one, or what made it end."""
+def timeline_cells(line: Sequence[dict[str, Any]], zone: tzinfo | None, now: float) -> list[list[str]]:
+    """The cells of a time line. A reason lasts until the next reason, the end of the job, or a gap."""
     cells = []
     for n, event in enumerate(line):
         ends = next((e["at"] for e in line[n + 1 :] if e["what"] in ("reason", "over", "gap")), now)
-        lasted = span(ends - event["at"]) if event["what"] in ("reason", "waits") else ""
+        lasted = duration_text(ends - event["at"]) if event["what"] in ("reason", "waits") else ""
         count = event.get("count", 1)
-        what = _WORDS.get(event["what"], event["what"])
+        what = _EVENT_LABELS.get(event["what"], event["what"])
         what = f"{count} x {what}" if count > 1 and event["what"] in ("started", "ended") else what
         text = f"{count} records" if event["what"] == "squeezed" else event.get("text", "")
-        cells.append([moment(event["at"], zone), lasted, what, text, event.get("subject", "")])
+        cells.append([time_text(event["at"], zone), lasted, what, text, event.get("subject", "")])
     return cells
 
 
-_WORDS = {"waits": "waits for others", "reason": "waits or runs", "squeezed": "left out"}
+_EVENT_LABELS = {"waits": "waits for others", "reason": "waits or runs", "squeezed": "left out"}
 
 
-def order_text(order: dict[str, Any] | None) -> str:
-    """Whose jobs are before one without a place."""
+def queue_position_text(order: dict[str, Any] | None) -> str:
+    """A job's position among the jobs without a placement, and which jobs are before it; empty for None."""
     if order is None:
         return ""
     if not order["before"]:
@@ -166,15 +182,15 @@
 def recovery_cells(recoveries: Iterable[dict[str, Any]]) -> list[list[str]]:
     return [
         [
-            r["cause"], str(r["lost"]), str(r["run_again"]), str(r["waiting"]), span(r["median_s"]),
-            span(r["longest_s"]),
+            r["cause"], str(r["lost"]), str(r["run_again"]), str(r["waiting"]), duration_text(r["median_s"]),
+            duration_text(r["longest_s"]),
         ]
         for r in recoveries
     ]  # fmt: skip
 
 
 def money_cells(money: dict[str, Any]) -> list[list[str]]:
-    """By kind of machine, by team and class, and what was for nobody."""
+    """Costs by machine type, by team and class, and of unused capacity."""
     total = money["spent"] or 1.0
     parts = [(f"{m['type']}, {m['kind']}", m["spent"]) for m in money["by_machine"]]
     parts += [(f"{u['team']}: {u['class']}", u["spent"]) for u in money["by_use"]]
@@ -191,7 +207,7 @@
 
 
 def headline(overview: dict[str, Any]) -> str:
-    """One line that says how it goes."""
+    """A one-line summary: jobs, machines, unverified machines and zones that are cut off."""
     states = overview.get("states", {})
     waiting = sum(wait["jobs"] for wait in overview.get("waits", []))
     parts = [f"{sum(states.values())} jobs, {waiting} of them wait for something"]
--- a/pepperlatch/console/service.py
+++ b/pepperlatch/console/service.py
@@ -1,10 +1,12 @@
-"""Answers to those who look: at the leader from its model, within its budget; elsewhere the leader's answer, passed on.
+"""Answers viewers' requests: the leader from its model within a CPU budget, a follower by forwarding to the leader.
 
-GET /console/overview                what there is, teams, machines by kind, money, recoveries
+GET /console/overview                job totals, teams, machines by kind, costs, recoveries
 GET /console/jobs?FILTERS&sort=&page=&after=
 GET /console/changes?FILTERS&token=&since=&most=
-GET /console/jobs/ID                 one job: its time line, and whose jobs are before it
+GET /console/jobs/ID                 one job: its time line and its position in the queue
 GET /console/machines, /console/events
+
+A follower that gets no answer from the leader answers jobs and overview from its own copy of the records.
 """
 
 from collections.abc import Callable, Iterator
@@ -18,7 +20,7 @@
 
 from pepperlatch import __version__
 from pepperlatch.console import rows
-from pepperlatch.console.model import Gone, Model, of_record
+from pepperlatch.console.model import ChangesExpired, ViewModel, row_from_record
 from pepperlatch.console.recorder import Recorder
 from pepperlatch.constants import console as c
 from pepperlatch.controller.extensions import ExtensionContext
@@ -31,17 +33,17 @@
 if TYPE_CHECKING:
     from pepperlatch.controller.leader import Leader
 
-BASE = "/console"
-DIRECT = "direct"  # asked by another controller: never passed on once more
+BASE_PATH = "/console"
+DIRECT_FIELD = "direct"  # marks a request forwarded by another controller: it is not forwarded again
 
 
-class Busy(Exception):
-    """The leader has no time for viewers now."""
+class LeaderBusy(Exception):
+    """The viewers' CPU budget is used up or the leader's queue is long: answered with 503 and Retry-After."""
 
 
 @dataclass(slots=True)
-class _Kept:
-    """An answer, when it was made, and as it is sent, compressed or not."""
+class _CachedAnswer:
+    """An answer, when it was made (steady clock, s), the term's token, and its encodings by compressed or not."""
 
     made_at: float
     token: int
@@ -49,92 +51,108 @@
     encoded: dict[bool, bytes] = field(default_factory=dict)
 
 
-class Views:
-    """What this node shows. `spent` is the processor time used so far, in s."""
+class ViewService:
+    """Answers viewers on this node. `cpu_time` returns the processor time that the process has used so far, in s."""
 
-    def __init__(self, core: ExtensionContext, spent: Callable[[], float]) -> None:
+    def __init__(self, core: ExtensionContext, cpu_time: Callable[[], float]) -> None:
         self._core = core
-        self._spent = spent
+        self._cpu_time = cpu_time
         self._budget = TokenBucket(
             c.LEADER_SHARE * core.settings.params.limits.cpu_share, c.LEADER_BURST_S, float("inf"), core.clock()
         )  # fmt: skip
-        self._model: Model | None = None
+        self._model: ViewModel | None = None
         self._refreshed_at = float("-inf")
-        self._asked_at = float("-inf")
-        self._kept: dict[str, _Kept] = {}  # answers by path
+        self._last_request_at = float("-inf")
+        self._cache: dict[str, _CachedAnswer] = {}  # by path and query string
 
-    # --- the leader's own ---------------------------------------------------------------------------
+    # --- on the leader ------------------------------------------------------------------------------
 
-    def lead(self, leader: "Leader", recorder: Recorder) -> None:
-        self._model = Model(leader, recorder)
+    def start_term(self, leader: "Leader", recorder: Recorder) -> None:
+        """Start an empty model for a new term. Called by the extension."""
+        self._model = ViewModel(leader, recorder)
         self._refreshed_at = float("-inf")
-        self._kept.clear()
+        self._cache.clear()
 
     async def run(self) -> None:
-        """While somebody looks, take in what is much a part at a time; without a viewer keep no rows."""
+        """While there are viewers, rebuild pending rows in batches; after VIEW_IDLE_TIMEOUT_S without one, drop all rows.
+
+        Runs while the process lives. Batches stop when the budget is half used, so that answers have priority.
+        """
         while True:
-            model, now = self._leading(), self._core.clock()
-            if model is None or now - self._asked_at > c.VIEW_IDLE_TIMEOUT_S:
+            model, now = self._current_model(), self._core.clock()
+            if model is None or now - self._last_request_at > c.VIEW_IDLE_TIMEOUT_S:
                 if self._model is not None and self._model.rows:
-                    self._model.forget()
-                    self._kept.clear()
+                    self._model.discard_rows()
+                    self._cache.clear()
                 await trio.sleep(c.MIN_REFRESH_INTERVAL_S)
                 continue
-            enough = self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2  # answers go first
-            if model.pending() and enough and not model.leader.command_loop.is_backlogged():
-                with self._charged(now):
+            has_budget = (
+                self._budget.available(now) > self._budget.rate * self._budget.burst_s / 2
+            )  # half is for answers
+            if model.pending() and has_budget and not model.leader.command_loop.is_backlogged():
+                with self._charge_cpu(now):
                     model.refresh()
             await trio.sleep(c.ROW_BATCH_PAUSE_S)
 
-    def _leading(self) -> Model | None:
+    def _current_model(self) -> ViewModel | None:
+        """The model of the current term, or None if this node does not lead or is not ready."""
         model, leader = self._model, self._core.current_leader()
         if model is None or leader is None or model.leader is not leader or leader.term.over or not leader.ready:
             return None
         return model
 
-    def _own(self, model: Model, path: str, text: str) -> "_Kept":
-        """The answer from the model; a kept one for those who ask the same at once. Raises Busy, BadQuery or Gone."""
+    def _answer_from_model(self, model: ViewModel, path: str, query_string: str) -> "_CachedAnswer":
+        """The answer from the model, or a recent cached one for the same request.
+
+        Without CPU budget, a cached answer up to MAX_ANSWER_AGE_S old is given, marked `busy`. Raises LeaderBusy if there is
+        none, BadQuery, ChangesExpired, or KeyError for an unknown job.
+        """
         now = self._core.clock()
-        self._asked_at = now
-        key = f"{path}?{text}"
-        kept = self._kept.get(key)
-        whole = path == f"{BASE}/jobs" and kept is not None and not kept.answer["pending"]
-        keep_s = c.PAGE_CACHE_S if whole else c.MIN_REFRESH_INTERVAL_S
-        if kept is not None and now - kept.made_at < keep_s and kept.token == model.leader.term.token:
-            return kept
+        self._last_request_at = now
+        key = f"{path}?{query_string}"
+        cached = self._cache.get(key)
+        all_rows_built = path == f"{BASE_PATH}/jobs" and cached is not None and not cached.answer["pending"]
+        max_age_s = c.PAGE_CACHE_S if all_rows_built else c.MIN_REFRESH_INTERVAL_S
+        if cached is not None and now - cached.made_at < max_age_s and cached.token == model.leader.term.token:
+            return cached
         if self._budget.available(now) <= 0 or model.leader.command_loop.is_backlogged():
-            if kept is not None and now - kept.made_at < c.MAX_ANSWER_AGE_S:
-                older = {**kept.answer, "age_s": round(now - kept.made_at, 1), "busy": True}
-                return _Kept(kept.made_at, kept.token, older)
-            raise Busy
-        with self._charged(now):
+            if cached is not None and now - cached.made_at < c.MAX_ANSWER_AGE_S:
+                stale_answer = {**cached.answer, "age_s": round(now - cached.made_at, 1), "busy": True}
+                return _CachedAnswer(cached.made_at, cached.token, stale_answer)
+            raise LeaderBusy
+        with self._charge_cpu(now):
             if now - self._refreshed_at >= c.MIN_REFRESH_INTERVAL_S:
                 self._refreshed_at = now
                 model.refresh(c.ROWS_PER_ANSWER)
-            made = _Kept(now, model.leader.term.token, {**self._head(model), **self._body(model, path, text)})
-        self._kept = {k: kept for k, kept in self._kept.items() if now - kept.made_at < c.MAX_ANSWER_AGE_S}
-        self._kept[key] = made
+            made = _CachedAnswer(
+                now,
+                model.leader.term.token,
+                {**self._answer_head(model), **self._answer_body(model, path, query_string)},
+            )
+        self._cache = {k: cached for k, cached in self._cache.items() if now - cached.made_at < c.MAX_ANSWER_AGE_S}
+        self._cache[key] = made
         return made
 
     @contextmanager
-    def _charged(self, now: float) -> Iterator[None]:
-        """What it takes is taken from what viewers may use."""
-        began = self._spent()
+    def _charge_cpu(self, now: float) -> Iterator[None]:
+        """Takes the processor time of the block from the viewers' budget."""
+        began = self._cpu_time()
         try:
             yield
         finally:
-            self._budget.take(now, self._spent() - began)
-
-    def _sent(self, kept: "_Kept", gzip: bool) -> Response:
-        """Encoded once for all who ask alike."""
-        if gzip not in kept.encoded:
-            with self._charged(self._core.clock()):
-                plain = orjson.dumps(kept.answer)
-                kept.encoded[gzip] = compressed(plain) if gzip else plain
+            self._budget.take(now, self._cpu_time() - began)
+
+    def _encode(self, cached: "_CachedAnswer", gzip: bool) -> Response:
+        """The response; each encoding is made once per cached answer."""
+        if gzip not in cached.encoded:
+            with self._charge_cpu(self._core.clock()):
+                plain = orjson.dumps(cached.answer)
+                cached.encoded[gzip] = compressed(plain) if gzip else plain
         headers = {"Content-Type": "application/json", **({"Content-Encoding": "gzip"} if gzip else {})}
-        return Response(200, kept.encoded[gzip], headers)
+        return Response(200, cached.encoded[gzip], headers)
 
-    def _head(self, model: Model) -> dict[str, Any]:
+    def _answer_head(self, model: ViewModel) -> dict[str, Any]:
+        """The fields that every answer of a leader has. `at`: time of day, s."""
         return {
             "node": self._core.settings.node,
             "version": __version__,
@@ -146,81 +164,88 @@
             "source": "leader",
         }
 
-    def _body(self, model: Model, path: str, text: str) -> dict[str, Any]:
-        if path == f"{BASE}/changes":
-            query, more = rows.parse(text, ("token", "since"))
+    def _answer_body(self, model: ViewModel, path: str, query_string: str) -> dict[str, Any]:
+        """The fields of the path's answer. Raises BadQuery, ChangesExpired (also for another term), or KeyError."""
+        if path == f"{BASE_PATH}/changes":
+            query, more = rows.parse_query(query_string, ("token", "since"))
             token, since = more.get("token", ""), more.get("since", "")
             if not (token.isdecimal() and since.isdecimal()):
                 raise rows.BadQuery("since, token: wanted from an earlier answer")
             if int(token) != model.leader.term.token:
-                raise Gone
+                raise ChangesExpired
             return model.changes(query, int(since))
-        if path == f"{BASE}/jobs":
-            return model.page(rows.parse(text)[0])
-        if path.startswith(f"{BASE}/jobs/"):
-            return self._job(model, path.removeprefix(f"{BASE}/jobs/"))
-        if path == f"{BASE}/machines":
+        if path == f"{BASE_PATH}/jobs":
+            return model.page(rows.parse_query(query_string)[0])
+        if path.startswith(f"{BASE_PATH}/jobs/"):
+            return self._job_detail(model, path.removeprefix(f"{BASE_PATH}/jobs/"))
+        if path == f"{BASE_PATH}/machines":
             return {"machines": model.machines()}
-        if path == f"{BASE}/events":
+        if path == f"{BASE_PATH}/events":
             return {"events": [msgspec.to_builtins(event) for event in reversed(model.recorder.events)]}
         return model.overview()
 
-    def _job(self, model: Model, job_id: str) -> dict[str, Any]:
-        """What is kept of one job; its row is missing where it is over and shown no more."""
+    def _job_detail(self, model: ViewModel, job_id: str) -> dict[str, Any]:
+        """One job with its time line. `job` is None if there is no row, as for a job that ended long ago.
+
+        Raises KeyError for an unknown job.
+        """
         row = model.rows.get(job_id)
-        line = [msgspec.to_builtins(event) for event in model.recorder.history.line(job_id)]
+        line = [msgspec.to_builtins(event) for event in model.recorder.history.timeline(job_id)]
         entry = model.leader.replica.jobs.get(job_id)
         if entry is None:
             raise KeyError(job_id)
-        found: dict[str, Any] = {"job": rows.plain([row])[0] if row else None, "line": line}
+        found: dict[str, Any] = {"job": rows.to_builtins([row])[0] if row else None, "line": line}
         found["state"] = row.state if row else entry.state.value
         if row is not None:
             found["changes_when"] = changes_when(row.why)
-            found["order"] = model.order(job_id)
+            found["order"] = model.queue_position(job_id)
         return found
 
-    # --- asked ----------------------------------------------------------------------------------------
+    # --- requests -------------------------------------------------------------------------------------
 
     async def handle(self, request: Request) -> Response:
-        """Answers at once or within `VIEW_FORWARD_TIMEOUT_S`; nothing is left behind when it is cancelled."""
-        return await self._handle(request, lambda kept: self._sent(kept, request.gzip))
+        """Answer a request, at once or within `VIEW_FORWARD_TIMEOUT_S` if it is forwarded. Safe to cancel."""
+        return await self._handle(request, lambda cached: self._encode(cached, request.gzip))
 
-    async def plain(self, request: Request) -> Response:
-        """The same with the body as it is before it is written, for those who take something out of it."""
-        return await self._handle(request, lambda kept: Response(200, kept.answer))
+    async def handle_unencoded(self, request: Request) -> Response:
+        """Like `handle` with the body not encoded yet, for `MembersView`, which removes fields from it."""
+        return await self._handle(request, lambda cached: Response(200, cached.answer))
 
-    async def _handle(self, request: Request, sent: Callable[["_Kept"], Response]) -> Response:
-        path, _, text = request.path.partition("?")
-        if request.method != "GET" or not _known(path):
+    async def _handle(self, request: Request, encode: Callable[["_CachedAnswer"], Response]) -> Response:
+        path, _, query_string = request.path.partition("?")
+        if request.method != "GET" or not _is_known_path(path):
             return Response(404, {"error": "no such path"})
-        text, direct = _without_direct(text)
+        query_string, direct = _strip_direct(query_string)
         try:
-            model = self._leading()
+            model = self._current_model()
             if model is not None:
-                return sent(self._own(model, path, text))
+                return encode(self._answer_from_model(model, path, query_string))
             if direct:
                 return Response(409, {"error": "does not lead"})
-            return await self._passed_on(path, text)
+            return await self._forward_to_leader(path, query_string)
         except rows.BadQuery as error:
             return Response(400, {"error": str(error), "field": str(error).partition(":")[0]})
-        except Gone:
+        except ChangesExpired:
             return Response(410, {"error": "changes since then are not known any more: ask for the jobs anew"})
         except KeyError:
             return Response(404, {"error": "no such job"})
-        except Busy:
+        except LeaderBusy:
             why = "the leader has no time for viewers now: workers and users go first"
             return Response(503, {"error": why}, {"Retry-After": str(c.BUSY_RETRY_S)})
 
-    async def _passed_on(self, path: str, text: str) -> Response:
-        """The leader's answer; if there is none, what this node knows itself, and how old that is."""
-        held = self._core.watcher.replica.leader
-        peer = next((p for p in self._core.settings.peers if held is not None and p.node == held[0]), None)
+    async def _forward_to_leader(self, path: str, query_string: str) -> Response:
+        """The leader's answer, or if it gives none, an answer from this node's records with its age."""
+        leader_and_token = self._core.watcher.replica.leader
+        peer = next(
+            (p for p in self._core.settings.peers if leader_and_token is not None and p.node == leader_and_token[0]),
+            None,
+        )
         why = "nobody leads"
         if peer is not None:
-            asked = f"{path}?{text}&{DIRECT}=1" if text else f"{path}?{DIRECT}=1"
+            forwarded_path = f"{path}?{query_string}&{DIRECT_FIELD}=1" if query_string else f"{path}?{DIRECT_FIELD}=1"
             try:
                 status, answer = await self._core.network.request(
-                    peer.addr, "GET", asked, None, c.VIEW_FORWARD_TIMEOUT_S
+                    peer.addr, "GET", forwarded_path, None, c.VIEW_FORWARD_TIMEOUT_S
                 )
                 if status != 409 and isinstance(answer, dict):
                     if status == 200:
@@ -230,42 +255,51 @@
             except (NotSent, NoUsableResponse):
                 pass
             why = f"{peer.node}, which leads, does not answer this node"
-        return self._of_records(path, text, why)
+        return self._answer_from_records(path, query_string, why)
+
+    def _answer_from_records(self, path: str, query_string: str, why: str) -> Response:
+        """Jobs or totals from this node's copy of the records and the progress that the leader last reported.
 
-    def _of_records(self, path: str, text: str, why: str) -> Response:
-        """Jobs as the records say, with what the leader last told of them."""
+        Other paths are answered 503. `why`: why the leader did not answer.
+        """
         core, replica = self._core, self._core.watcher.replica
-        if path not in (f"{BASE}/jobs", f"{BASE}/overview"):
+        if path not in (f"{BASE_PATH}/jobs", f"{BASE_PATH}/overview"):
             return Response(503, {"error": f"only the leader knows that, and {why}"}, {"Retry-After": "2"})
-        told, wall = core.leader_snapshot(), core.wall()
+        snapshot, wall = core.leader_snapshot(), core.wall()
         found = [
-            of_record(job_id, entry, replica, wall, told=told.progress(job_id))
+            row_from_record(job_id, entry, replica, wall, progress=snapshot.progress(job_id))
             for job_id, entry in replica.jobs.items() if entry.state not in wire.FINAL_JOB_STATES
         ]  # fmt: skip
         made = [row for row in found if row is not None]
-        held = replica.leader
+        leader_and_token = replica.leader
         now = core.clock()
-        old = now - max(replica.current_at, min(told.requested_at, now)) if replica.current_at > float("-inf") else None
+        age_s = (
+            now - max(replica.current_at, min(snapshot.requested_at, now))
+            if replica.current_at > float("-inf")
+            else None
+        )
         head = {
-            "node": core.settings.node, "version": __version__, "leader": held[0] if held else None,
-            "token": held[1] if held else None, "revision": 0, "at": round(wall, 1),
-            "age_s": round(old, 1) if old is not None else None,
-            "told_s": round(now - told.requested_at, 1) if told.requested_at > float("-inf") else None,
+            "node": core.settings.node, "version": __version__,
+            "leader": leader_and_token[0] if leader_and_token else None,
+            "token": leader_and_token[1] if leader_and_token else None, "revision": 0, "at": round(wall, 1),
+            "age_s": round(age_s, 1) if age_s is not None else None,
+            "told_s": round(now - snapshot.requested_at, 1) if snapshot.requested_at > float("-inf") else None,
             "source": "records", "why": why,
         }  # fmt: skip
-        if path == f"{BASE}/overview":
+        if path == f"{BASE_PATH}/overview":
             return Response(200, {**head, **rows.totals(made)})
-        query = rows.parse(text)[0]
-        shown, after = rows.page(rows.found(made, query), query)
-        return Response(200, {**head, "jobs": rows.plain(shown), "next": after, "shown": len(made)})
+        query = rows.parse_query(query_string)[0]
+        shown, after = rows.page(rows.select(made, query), query)
+        return Response(200, {**head, "jobs": rows.to_builtins(shown), "next": after, "shown": len(made)})
 
 
-def _known(path: str) -> bool:
-    known = [f"{BASE}/{name}" for name in ("overview", "jobs", "changes", "machines", "events")]
-    return path in known or path.startswith(f"{BASE}/jobs/")
+def _is_known_path(path: str) -> bool:
+    known = [f"{BASE_PATH}/{name}" for name in ("overview", "jobs", "changes", "machines", "events")]
+    return path in known or path.startswith(f"{BASE_PATH}/jobs/")
 
 
-def _without_direct(text: str) -> tuple[str, bool]:
-    parts = [part for part in text.split("&") if part]
-    rest = [part for part in parts if not part.startswith(f"{DIRECT}=")]
+def _strip_direct(query_string: str) -> tuple[str, bool]:
+    """The query string without the mark of a forwarded request, and whether it was there."""
+    parts = [part for part in query_string.split("&") if part]
+    rest = [part for part in parts if not part.startswith(f"{DIRECT_FIELD}=")]
     return "&".join(rest), len(rest) < len(parts)
--- a/pepperlatch/console/terminal.py
+++ b/pepperlatch/console/terminal.py
@@ -1,6 +1,6 @@
 """The console on a terminal: overview, jobs, one job's time line, machines, teams, events.
 
-The feed runs in a thread of its own; it hands over whole moments, and is told what to look at.
+The poller runs in a thread of its own: it passes complete view states to the terminal and gets the selection from it.
 """
 
 import threading
@@ -17,18 +17,18 @@
 from textual.containers import Vertical
 from textual.widgets import DataTable, Footer, Input, Static, TabbedContent, TabPane
 
-from pepperlatch.console import picture
-from pepperlatch.console.feed import Feed, Shown, Wants
-from pepperlatch.console.rows import BadQuery, Query, parse
+from pepperlatch.console import formatting
+from pepperlatch.console.poller import Poller, Selection, ViewState
+from pepperlatch.console.rows import BadQuery, Query, parse_query
 from pepperlatch.constants import console as c
 
-FeedOf = Callable[[Callable[[Shown], None]], Feed]
-NARROW = 110  # columns; below that a job's row has only what is needed most
+PollerFactory = Callable[[Callable[[ViewState], None]], Poller]
+NARROW_BELOW_COLUMNS = 110  # terminal width; narrower ones get NARROW_COLUMNS
 _VIEWS = ("overview", "jobs", "job", "machines", "teams", "events")
 
 
-def read_filter(text: str, page: int = c.MAX_PAGE_ROWS) -> Query:
-    """`team:web-services priority:urgent why:team-limit words` as a query. Raises BadQuery naming the field."""
+def parse_filter(text: str, page: int = c.MAX_PAGE_ROWS) -> Query:
+    """Parses a filter such as `team:web-services priority:urgent why:team-limit words`. Raises BadQuery."""
     fields: dict[str, str] = {}
     words = []
     for word in text.split():
@@ -39,15 +39,16 @@
             raise BadQuery(f"{name}: no such field; team, class, priority, state, why, or words")
         else:
             words.append(word)
-    parsed, _ = parse(urlencode({"state": "unfinished", **fields, "text": " ".join(words)}))
+    parsed, _ = parse_query(urlencode({"state": "unfinished", **fields, "text": " ".join(words)}))
     return msgspec.structs.replace(parsed, page=page, most=c.MAX_CONSOLE_ANSWER_BYTES)
 
 
 class Table(DataTable[Text]):
-    """Rows are replaced whole; the cursor stays with its row."""
+    """A table whose rows are all replaced at each update; the cursor stays on the row with the same first cell."""
 
-    def fill(self, columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
-        key = self.current()
+    def replace_rows(self, columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
+        """Show these rows, and these columns if they differ from the present ones."""
+        key = self.current_key()
         if [str(column.label) for column in self.columns.values()] != list(columns):
             self.clear(columns=True)
             for column in columns:
@@ -59,7 +60,7 @@
         if key and (at := next((n for n, row in enumerate(rows) if row[0] == key), None)) is not None:
             self.move_cursor(row=at, animate=False)
 
-    def current(self) -> str:
+    def current_key(self) -> str:
         """The first cell of the row under the cursor."""
         if not self.row_count:
             return ""
@@ -67,7 +68,7 @@
 
 
 class ConsoleApp(App[None]):
-    """`want` tells the feed what to look at; `show` takes what it sees."""
+    """The terminal application. It calls `on_select` when the selection changes, and displays what `show` is given."""
 
     CSS = """
     Screen { overflow: hidden; }
@@ -87,17 +88,19 @@
         Binding("q", "quit", "quit"),
     ]
 
-    def __init__(self, want: Callable[[Wants], None], zone: tzinfo | None = None, wants: Wants | None = None) -> None:
+    def __init__(
+        self, on_select: Callable[[Selection], None], zone: tzinfo | None = None, selection: Selection | None = None
+    ) -> None:
         super().__init__()
-        self._want = want
+        self._on_select = on_select
         self._zone = zone
-        self._wants = wants or Wants(read_filter(""))
-        self._last: Shown | None = None
+        self._selection = selection or Selection(parse_filter(""))
+        self._last_state: ViewState | None = None
 
     def compose(self) -> ComposeResult:
         yield Static("asking ...", id="head", markup=False)
         yield Static("", id="stale", markup=False)
-        with TabbedContent(initial=self._wants.view, id="views"):
+        with TabbedContent(initial=self._selection.view, id="views"):
             for view in _VIEWS:
                 with TabPane(view, id=view), Vertical():
                     if view == "jobs":
@@ -105,164 +108,171 @@
                     yield Static("", id=f"words-{view}", markup=False)
                     yield Table(id=f"table-{view}", cursor_type="row", zebra_stripes=True)
                     if view == "jobs":
-                        yield Static("", id="whole", markup=False)  # a reason is longer than a narrow column
+                        yield Static("", id="whole", markup=False)  # full reason of the row under the cursor
         yield Footer()
 
-    # --- what the viewer does ---------------------------------------------------------------------
+    # --- input ------------------------------------------------------------------------------------
 
     def action_view(self, view: str) -> None:
         self.query_one("#views", TabbedContent).active = view
-        self._table(view).focus()  # a hidden one that keeps it would bring its own view back
-        self._look(view)
+        self._table(view).focus()  # a hidden table with the focus would switch back to its own view
+        self._select_view(view)
 
     def action_filter(self) -> None:
         self.action_view("jobs")
         self.query_one("#filter", Input).focus()
 
     def action_leave(self) -> None:
-        self.action_view("jobs" if self._wants.view == "job" else self._wants.view)
+        self.action_view("jobs" if self._selection.view == "job" else self._selection.view)
         self._table("jobs").focus()
 
     def on_tabbed_content_tab_activated(self, event: TabbedContent.TabActivated) -> None:
-        if event.pane.id and event.pane.id != self._wants.view:
-            self._look(event.pane.id)
+        if event.pane.id and event.pane.id != self._selection.view:
+            self._select_view(event.pane.id)
 
     def on_input_submitted(self, event: Input.Submitted) -> None:
         try:
-            query = read_filter(event.value)
+            query = parse_filter(event.value)
         except BadQuery as error:
             self.query_one("#words-jobs", Static).update(str(error))
             return
-        self._wants = Wants(query, "jobs", self._wants.job)
-        self._want(self._wants)
+        self._selection = Selection(query, "jobs", self._selection.job)
+        self._on_select(self._selection)
         self._table("jobs").focus()
 
     def on_data_table_row_highlighted(self, event: DataTable.RowHighlighted) -> None:
-        if event.data_table.id == "table-jobs" and self._last is not None:
-            job = self._table("jobs").current()
-            row = next((row for row in self._last.rows if row.id == job), None)
-            self.query_one("#whole", Static).update(picture.reason_text(row, self._last.now) if row else "")
+        if event.data_table.id == "table-jobs" and self._last_state is not None:
+            job = self._table("jobs").current_key()
+            row = next((row for row in self._last_state.rows if row.id == job), None)
+            self.query_one("#whole", Static).update(formatting.reason_text(row, self._last_state.now) if row else "")
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
         table = event.data_table
-        if table.id == "table-jobs" and isinstance(table, Table) and (job := table.current()):
-            self._wants = Wants(self._wants.query, "job", job)
+        if table.id == "table-jobs" and isinstance(table, Table) and (job := table.current_key()):
+            self._selection = Selection(self._selection.query, "job", job)
             self.action_view("job")
 
-    def _look(self, view: str) -> None:
-        self._wants = Wants(self._wants.query, view, self._wants.job)
-        self._want(self._wants)
-        if self._last is not None:
-            self.show(self._last)
+    def _select_view(self, view: str) -> None:
+        """Report the new selection, and show the last view state until the next poll."""
+        self._selection = Selection(self._selection.query, view, self._selection.job)
+        self._on_select(self._selection)
+        if self._last_state is not None:
+            self.show(self._last_state)
 
-    # --- what is shown ----------------------------------------------------------------------------
+    # --- output -----------------------------------------------------------------------------------
 
     def _table(self, view: str) -> Table:
         return self.query_one(f"#table-{view}", Table)
 
-    def show(self, shown: Shown) -> None:
-        """Called in the terminal's own thread."""
-        self._last = shown
-        self.query_one("#head", Static).update(_head(shown, self._zone))
-        self.query_one("#stale", Static).update(f"STALE: {shown.stale}" if shown.stale else "")
-        if shown.head:
-            words, columns, rows = self._content(shown)
-            self.query_one(f"#words-{self._wants.view}", Static).update(words)
-            self._table(self._wants.view).fill(columns, rows)
-
-    def _content(self, shown: Shown) -> tuple[str, Sequence[str], list[list[str]]]:
-        view, overview = self._wants.view, shown.overview
+    def show(self, view_state: ViewState) -> None:
+        """Display a view state. Must be called in the terminal's own thread."""
+        self._last_state = view_state
+        self.query_one("#head", Static).update(_header_text(view_state, self._zone))
+        self.query_one("#stale", Static).update(f"STALE: {view_state.stale}" if view_state.stale else "")
+        if view_state.head:
+            words, columns, rows = self._content(view_state)
+            self.query_one(f"#words-{self._selection.view}", Static).update(words)
+            self._table(self._selection.view).replace_rows(columns, rows)
+
+    def _content(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
+        view, overview = self._selection.view, view_state.overview
         if view == "jobs":
-            return self._jobs(shown)
+            return self._jobs_content(view_state)
         if view == "job":
-            return self._job(shown)
+            return self._job_content(view_state)
         if view == "machines":
-            counts = picture.machine_counts(overview.get("machines", []))
+            counts = formatting.machine_counts(overview.get("machines", []))
             words = ", ".join(f"{count} {state}" for state, count in counts.items())
-            return words, picture.MACHINE_COLUMNS, picture.machine_cells(shown.listed)
+            return words, formatting.MACHINE_COLUMNS, formatting.machine_cells(view_state.listing)
         if view == "teams":
-            return "", picture.TEAM_COLUMNS, picture.team_cells(overview.get("teams", []))
+            return "", formatting.TEAM_COLUMNS, formatting.team_cells(overview.get("teams", []))
         if view == "events":
-            return "", picture.EVENT_COLUMNS, picture.event_cells(shown.listed, self._zone)
-        waits = picture.wait_cells(overview.get("waits", []), shown.now)
-        return picture.headline(overview), picture.WAIT_COLUMNS, waits
-
-    def _jobs(self, shown: Shown) -> tuple[str, Sequence[str], list[list[str]]]:
-        found = shown.rows[: c.MAX_TERMINAL_ROWS]
-        more = len(shown.rows) - len(found)
-        words = f"{len(shown.rows)} jobs" + (f", the first {len(found)} shown: filter with /" if more else "")
-        if shown.behind:
+            return "", formatting.EVENT_COLUMNS, formatting.event_cells(view_state.listing, self._zone)
+        waits = formatting.wait_cells(overview.get("waits", []), view_state.now)
+        return formatting.headline(overview), formatting.WAIT_COLUMNS, waits
+
+    def _jobs_content(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
+        found = view_state.rows[: c.MAX_TERMINAL_ROWS]
+        more = len(view_state.rows) - len(found)
+        words = f"{len(view_state.rows)} jobs" + (f", the first {len(found)} shown: filter with /" if more else "")
+        if view_state.behind:
             words += "; more has changed than this link is sent, the rest follows"
-        rows = [picture.job_cells(row, shown.now) for row in found]
-        columns = picture.JOB_COLUMNS if self.size.width >= NARROW else picture.NARROW_COLUMNS
+        rows = [formatting.job_cells(row, view_state.now) for row in found]
+        columns = formatting.JOB_COLUMNS if self.size.width >= NARROW_BELOW_COLUMNS else formatting.NARROW_COLUMNS
         return words, columns, [row[: len(columns)] for row in rows]
 
-    def _job(self, shown: Shown) -> tuple[str, Sequence[str], list[list[str]]]:
-        if not self._wants.job:
-            return "choose a job with Enter in the list", picture.LINE_COLUMNS, []
-        lines = [f"{self._wants.job}: {shown.detail.get('state', '...')}"]
-        row = next((row for row in shown.rows if row.id == self._wants.job), None)
+    def _job_content(self, view_state: ViewState) -> tuple[str, Sequence[str], list[list[str]]]:
+        if not self._selection.job:
+            return "choose a job with Enter in the list", formatting.TIMELINE_COLUMNS, []
+        lines = [f"{self._selection.job}: {view_state.detail.get('state', '...')}"]
+        row = next((row for row in view_state.rows if row.id == self._selection.job), None)
         if row is not None:
-            lines.append(picture.reason_text(row, shown.now))
-            lines.append(f"this changes when: {shown.detail.get('changes_when', '')}")
-        lines.append(picture.order_text(shown.detail.get("order")))
-        line = shown.detail.get("line", [])[-c.MAX_TIMELINE_RECORDS_SHOWN :]
-        cells = picture.line_cells(line, self._zone, shown.now)
-        return "\n".join(text for text in lines if text), picture.LINE_COLUMNS, cells
+            lines.append(formatting.reason_text(row, view_state.now))
+            lines.append(f"this changes when: {view_state.detail.get('changes_when', '')}")
+        lines.append(formatting.queue_position_text(view_state.detail.get("order")))
+        line = view_state.detail.get("line", [])[-c.MAX_TIMELINE_RECORDS_SHOWN :]
+        cells = formatting.timeline_cells(line, self._zone, view_state.now)
+        return "\n".join(text for text in lines if text), formatting.TIMELINE_COLUMNS, cells
 
 
-def _head(shown: Shown, zone: tzinfo | None) -> str:
-    if not shown.head:
+def _header_text(view_state: ViewState, zone: tzinfo | None) -> str:
+    if not view_state.head:
         return "nobody has answered yet"
-    head = shown.head
-    at = picture.day_and_moment(head["at"], zone) if head.get("at") else ""
+    head = view_state.head
+    at = formatting.date_time_text(head["at"], zone) if head.get("at") else ""
     return f"{at}  {head.get('leader') or 'nobody'} leads, seen at {head.get('node')}"
 
 
-class Live(ConsoleApp):
-    """The console with its feed, which begins once there is something to show it on, in a thread of its own.
+class LiveConsoleApp(ConsoleApp):
+    """The console with its poller, which is started in a thread of its own when the screen is mounted.
 
-    If the feed ends by a mistake, so does the console; `failed` says of what.
+    If the poller fails, the console exits and `failed` holds the exception.
     """
 
-    def __init__(self, feed_of: FeedOf, zone: tzinfo | None, wants: Wants | None = None) -> None:
-        super().__init__(self._tell, zone, wants)
-        self._feed = feed_of(self._take)
-        self._token: Any = None
-        self._over = False
+    def __init__(self, create_poller: PollerFactory, zone: tzinfo | None, selection: Selection | None = None) -> None:
+        super().__init__(self._forward_selection, zone, selection)
+        self._poller = create_poller(self._on_view_state)
+        self._trio_token: Any = None
+        self._unmounted = False
         self.failed: BaseException | None = None
 
     def on_mount(self) -> None:
-        threading.Thread(target=self._follow, daemon=True).start()
+        threading.Thread(target=self._run_poller, daemon=True).start()
 
     def on_unmount(self) -> None:
-        self._over = True
+        self._unmounted = True
 
-    def _tell(self, wants: Wants) -> None:
-        if self._token is not None and self.failed is None:
-            self._token.run_sync_soon(self._feed.want, wants)
+    def _forward_selection(self, selection: Selection) -> None:
+        if self._trio_token is not None and self.failed is None:
+            self._trio_token.run_sync_soon(self._poller.select, selection)
 
-    def _take(self, shown: Shown) -> None:
-        """In the feed's thread. Seen: called before the screen was there, it ended the feed without a word."""
-        if not self._over:
-            self.call_from_thread(self.show, shown)
+    def _on_view_state(self, view_state: ViewState) -> None:
+        """Pass a view state to the terminal. Called in the poller's thread, which starts when the screen is mounted.
 
-    def _follow(self) -> None:
+        A call before the screen exists would end the poller silently.
+        """
+        if not self._unmounted:
+            self.call_from_thread(self.show, view_state)
+
+    def _run_poller(self) -> None:
         async def main() -> None:
-            self._token = trio.lowlevel.current_trio_token()
-            await self._feed.run()
+            self._trio_token = trio.lowlevel.current_trio_token()
+            await self._poller.run()
 
         try:
             trio.run(main)
         except BaseException as error:
             self.failed = error
-            if not self._over:
+            if not self._unmounted:
                 self.call_from_thread(self.exit)
 
 
-def run(feed_of: FeedOf, zone: tzinfo | None) -> None:
-    """Until the viewer quits. `feed_of` makes the feed that calls what it is given."""
-    app = Live(feed_of, zone)
+def run(create_poller: PollerFactory, zone: tzinfo | None) -> None:
+    """Run the console until the viewer quits. `create_poller` makes a poller that calls the given function.
+
+    Raises what the poller failed with, except RuntimeError.
+    """
+    app = LiveConsoleApp(create_poller, zone)
     app.run()
     if app.failed is not None and not isinstance(app.failed, RuntimeError):
         raise app.failed
--- a/pepperlatch/console/tracing.py
+++ b/pepperlatch/console/tracing.py
@@ -1,8 +1,8 @@
-"""Spans of a sample of jobs, made from their time lines when they are over; on the usual library, imported if it is on.
+"""Trace spans of a sample of jobs, made from a job's time line when the job is over. Uses the OpenTelemetry SDK.
 
-A job's trace id follows from its id, so which jobs are in the sample is the same at every node, and spans of several
-leaders would belong to one trace. Each span is one line of the log (logger `trace`), as the library writes spans; what
-ships the log ships the traces.
+A job's trace id is derived from its id, so every node samples the same jobs, and spans from several leaders belong to
+one trace. Each span is one log line (logger `pepperlatch.trace`) in the SDK's JSON form, so whatever ships the log also
+ships the traces. Imported only if tracing is on.
 """
 
 import hashlib
@@ -20,11 +20,11 @@
 from pepperlatch.console.history import Event
 
 log = logging.getLogger("pepperlatch.trace")
-_SPANS = ("reason", "waits", "gap")  # what lasts until the next of these, or the end
+_SPAN_KINDS = ("reason", "waits", "gap")  # kinds of events that last until the next of them, or the job's end
 
 
-class _OfJob(RandomIdGenerator):
-    """The next trace's id is the job's."""
+class _JobTraceIds(RandomIdGenerator):
+    """Derives the trace id from `job_id`, which is set before each trace."""
 
     job_id = ""
 
@@ -32,51 +32,60 @@
         return int.from_bytes(hashlib.blake2b(self.job_id.encode("utf-8"), digest_size=16).digest(), "big")
 
 
-class _Lines(SpanExporter):
+class _LogExporter(SpanExporter):
+    """Writes each span to the log."""
+
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
         for span in spans:
             log.info("%s", span.to_json(indent=None))
         return SpanExportResult.SUCCESS
 
 
-class Traces:
-    """`share`: of the jobs, from 0 to 1. Nothing is kept between two jobs."""
+class JobTracer:
+    """Exports the traces of a share of all jobs, from 0 to 1. Keeps nothing between two jobs."""
 
     def __init__(self, node: str, share: float) -> None:
-        log.setLevel(logging.INFO)  # who switches it on wants it at any LOG_LEVEL
-        self._ids = _OfJob()
+        log.setLevel(logging.INFO)  # traces are written at any LOG_LEVEL
+        self._ids = _JobTraceIds()
         resource = Resource({"service.name": "pepperlatch", "service.instance.id": node})
         provider = TracerProvider(
             TraceIdRatioBased(share), resource, shutdown_on_exit=False, id_generator=self._ids
         )  # fmt: skip
-        provider.add_span_processor(SimpleSpanProcessor(_Lines()))
+        provider.add_span_processor(SimpleSpanProcessor(_LogExporter()))
         self._tracer = provider.get_tracer("pepperlatch")
 
-    def over(self, job_id: str, line: Sequence[Event]) -> None:
-        """The job's line is whole: a span for the job, one for each reason, and events for starts and ends."""
+    def export_job(self, job_id: str, line: Sequence[Event]) -> None:
+        """Export the finished job's spans: one for the job, one for each reason, wait and gap, the rest as events.
+
+        Called by the recorder when the job is over.
+        """
         if not line:
             return
         self._ids.job_id = job_id
-        root = self._tracer.start_span("job", Context(), start_time=_ns(line[0].at), attributes={"job": job_id})
+        root = self._tracer.start_span(
+            "job", Context(), start_time=_nanoseconds(line[0].at), attributes={"job": job_id}
+        )
         if not root.is_recording():
             return
         end = line[-1].at
         inside = trace.set_span_in_context(root, Context())
         for n, event in enumerate(line):
-            if event.what in _SPANS:
-                until = next((later.at for later in line[n + 1 :] if later.what in (*_SPANS, "over")), end)
-                part = self._tracer.start_span(event.what, inside, start_time=_ns(event.at), attributes=_said(event))
-                part.end(_ns(max(until, event.at)))
+            if event.what in _SPAN_KINDS:
+                until = next((later.at for later in line[n + 1 :] if later.what in (*_SPAN_KINDS, "over")), end)
+                part = self._tracer.start_span(
+                    event.what, inside, start_time=_nanoseconds(event.at), attributes=_attributes(event)
+                )
+                part.end(_nanoseconds(max(until, event.at)))
             else:
-                root.add_event(event.what, _said(event), _ns(event.at))
-        root.end(_ns(end))
+                root.add_event(event.what, _attributes(event), _nanoseconds(event.at))
+        root.end(_nanoseconds(end))
 
 
-def _ns(at: float) -> int:
+def _nanoseconds(at: float) -> int:
     return int(at * 1e9)
 
 
-def _said(event: Event) -> dict[str, str | int]:
+def _attributes(event: Event) -> dict[str, str | int]:
     found: dict[str, str | int] = {"count": event.count}
     if event.text:
         found["text"] = event.text
