--- a/pepperlatch/pipelines/__init__.py
+++ b/pepperlatch/pipelines/__init__.py
@@ -1,1 +1,1 @@
-"""Pipeline files, and the runs that are made of them."""
+"""Pipeline files, the runs that are created from them, and their schedules."""
--- a/pepperlatch/pipelines/canonical.py
+++ b/pepperlatch/pipelines/canonical.py
@@ -1,10 +1,14 @@
-"""What makes two requests the same job: the canonical form of what is asked, and the id made of it.
+"""The content id of a job: two requests with the same canonical form are the same job.
 
-The form is the JSON text, keys sorted, no spaces, of `{"again", "job", "key", "v": 1}`: `job` is the description
-as POST /work takes it, without its id and without fields that are null or unknown, amounts as decimal numbers,
-`builds` and `prereqs` sorted and without repetitions; `key` is the occasion that the user named, or ""; `again` is
-"" unless the job is asked for anew on purpose. The id is `run-` and the first 40 hexadecimal digits of the
-form's SHA-256 (FIPS 180-4). Neither the path a job comes by nor the order of fields has any part in it.
+The canonical form is the JSON text, with sorted keys and without spaces, of `{"again", "job", "key", "v": 1}`:
+- `job` is the description as POST /work takes it, without its id and without null or unknown fields; amounts are
+  decimal numbers; `builds` and `prereqs` are sorted and without repetitions;
+- `key` is the occasion that the user named, or "";
+- `again` is "" unless the job is deliberately submitted anew.
+
+The id is `run-` and the first 40 hexadecimal digits of the form's SHA-256 (FIPS 180-4). It depends neither on the
+order of fields nor on whether the job is submitted alone or by a pipeline. Every version must compute the same ids, or
+a job that is submitted to two versions would run twice.
 """
 
 import hashlib
@@ -18,6 +22,7 @@
 
 
 def canonical_form(spec: wire.JobSpec, key: str = "", again: str = "") -> bytes:
+    """The canonical form as described above, in UTF-8."""
     plain = wire.to_plain(
         msgspec.structs.replace(
             spec,
@@ -31,22 +36,25 @@
 
 
 def job_id(spec: wire.JobSpec, key: str = "", again: str = "") -> str:
-    """The id of what is asked; `spec.id` has no part in it."""
+    """The id that follows from the canonical form; `spec.id` has no influence."""
     return wire.job_id(hashlib.sha256(canonical_form(spec, key, again)).hexdigest()[: c.ID_HASH_DIGITS])
 
 
 def parse_description(job: dict[str, Any], needs: list[str] | None = None) -> wire.JobSpec:
-    """A description without an id, checked for types; raises msgspec.ValidationError naming the field."""
-    named = {**job, wire.ID_FIELD: wire.job_id("0")}
+    """Parse a description without an id. Raises msgspec.ValidationError, which names the field.
+
+    `job` has the protocol's field names; `needs`: ids of the jobs that have to be done before.
+    """
+    fields = {**job, wire.ID_FIELD: wire.job_id("0")}
     if needs:
-        named[wire.NEEDS_FIELD] = needs
-    spec: wire.JobSpec = wire.convert(named, wire.JobSpec)
+        fields[wire.NEEDS_FIELD] = needs
+    spec: wire.JobSpec = wire.convert(fields, wire.JobSpec)
     return spec
 
 
 def with_content_id(
     job: dict[str, Any], key: str = "", again: str = "", needs: list[str] | None = None
 ) -> wire.JobSpec:
-    """The description with the id that follows from it."""
+    """Parse a description and give it the id that follows from its content. Raises msgspec.ValidationError."""
     spec = parse_description(job, needs)
     return msgspec.structs.replace(spec, id=job_id(spec, key, again))
--- a/pepperlatch/pipelines/compile.py
+++ b/pepperlatch/pipelines/compile.py
@@ -43,7 +43,7 @@
         raise InvalidFile(list(_invalid(read, error))) from None
     builder = _Builder(read, file, team)
     plan = builder.plan(file.key if key is None else key)
-    wrong = plans.structure(plan) if builder.found else plans.problems(plan)
+    wrong = plans.find_structure_problems(plan) if builder.found else plans.find_problems(plan)
     found = builder.found + [builder.mistake(problem) for problem in wrong] + list(_unscheduled(read, file))
     if found:
         raise InvalidFile(found)
@@ -55,10 +55,10 @@
         return
     from pepperlatch.pipelines import schedules
 
-    wrong = schedules.problem(file.schedule.cron, file.schedule.timezone)
+    wrong = schedules.find_problem(file.schedule.cron, file.schedule.timezone)
     if wrong is not None:
         path: Path = ("schedule", wrong[0])
-        yield Mistake(read.place(path), wrong[1], plans.where(path))
+        yield Mistake(read.place(path), wrong[1], plans.format_path(path))
     if file.key:
         yield Mistake(read.place(("key",), key=True), "a scheduled pipeline takes its key from the due time", "key")
 
@@ -76,12 +76,12 @@
         seen.add(path)
         if row["type"] == "extra_forbidden":
             word = str(row["loc"][-1])
-            text = f"no such field{plans.meant(word, _fields(path[:-1]))}"
-            yield Mistake(read.place(path, key=True), text, plans.where(path))
+            text = f"no such field{plans.suggestion(word, _fields(path[:-1]))}"
+            yield Mistake(read.place(path, key=True), text, plans.format_path(path))
         elif row["type"] == "missing":
-            yield Mistake(read.place(path[:-1]), f"{path[-1]!r} is missing", plans.where(path[:-1]))
+            yield Mistake(read.place(path[:-1]), f"{path[-1]!r} is missing", plans.format_path(path[:-1]))
         else:
-            yield Mistake(read.place(path), _said(row), plans.where(path))
+            yield Mistake(read.place(path), _said(row), plans.format_path(path))
 
 
 def _in_file(loc: tuple[Any, ...], value: Any) -> Path:
@@ -180,11 +180,11 @@
     def _filled(self, path: Path, text: str, values: dict[str, Any]) -> str:
         for word in _WORD.findall(text):
             if word not in values:
-                self._wrong(path, f"no matrix of this step has {word!r}{plans.meant(word, values)}")
+                self._wrong(path, f"no matrix of this step has {word!r}{plans.suggestion(word, values)}")
         return _WORD.sub(lambda match: str(values.get(match[1], match[0])), text)
 
     def _wrong(self, path: Path, text: str) -> None:
-        mistake = Mistake(self.read.place(path), text, plans.where(path))
+        mistake = Mistake(self.read.place(path), text, plans.format_path(path))
         if mistake not in self.found:
             self.found.append(mistake)
 
@@ -193,7 +193,7 @@
         path = problem.path
         if path[:1] == ("steps",) and len(path) > 1 and isinstance(path[1], int):
             path = self._needs_in_file(("steps", self._origin[path[1]], *path[2:]))
-        return Mistake(self.read.place(path), problem.text, plans.where(path))
+        return Mistake(self.read.place(path), problem.text, plans.format_path(path))
 
     def _needs_in_file(self, path: Path) -> Path:
         """A need that a matrix has multiplied has another number in the plan; the list is near enough then."""
--- a/pepperlatch/pipelines/extension.py
+++ b/pepperlatch/pipelines/extension.py
@@ -1,6 +1,6 @@
-"""Pipelines as a part of a controller: thin, so that a start costs next to nothing.
+"""The pipelines extension of a controller: thin, so that it costs next to nothing at the controller's start.
 
-What does the work (`service`) is imported when somebody first asks for it, or when there is something to take up.
+The implementation (`service`) is imported at the first request, or when the leader finds a pending run or a schedule.
 """
 
 from collections.abc import Sequence
@@ -18,32 +18,37 @@
 from pepperlatch.protocol.state import NotExecuted, OutcomeUnknown
 
 if TYPE_CHECKING:
-    from pepperlatch.pipelines.service import Service
+    from pepperlatch.pipelines.service import PipelineService
 
 
 class PipelinesExtension(Extension):
+    """Serves runs and schedules on every node; on the leader it resumes runs and starts those that are due."""
+
     name = "pipelines"
     prefix = keys.PREFIX
     paths: Sequence[str] = ("/pipelines", "/schedules")
 
-    def __init__(self, core: ExtensionContext, wanted: features.Pipelines) -> None:
+    def __init__(self, core: ExtensionContext, options: features.Pipelines) -> None:
         self._core = core
-        self._wanted = wanted
-        self._made: Service | None = None
+        self._options = options
+        self._created_service: PipelineService | None = None
         self._nursery: trio.Nursery | None = None
 
-    def _service(self) -> "Service":
-        """Raises NotExecuted while the part is between two lives."""
+    def _service(self) -> "PipelineService":
+        """The service, created when first needed. Raises NotExecuted while `run` does not run, as before a restart."""
         if self._nursery is None:
             raise NotExecuted("pipelines are being started")
-        if self._made is None:
-            from pepperlatch.pipelines.service import Service
+        if self._created_service is None:
+            from pepperlatch.pipelines.service import PipelineService
 
-            self._made = Service(self._core, self._wanted, self._nursery)
-        return self._made
+            self._created_service = PipelineService(self._core, self._options, self._nursery)
+        return self._created_service
 
     async def handle(self, request: Request) -> Response:
-        """Answers at a deadline; what was recorded by then goes on, and the same request again tells how it stands."""
+        """Answer a user's request within RUN_ANSWER_TIMEOUT_S, after that with "retry later".
+
+        A run that was recorded by then is advanced further; repeating the request returns its current state.
+        """
         with trio.move_on_after(c.RUN_ANSWER_TIMEOUT_S):
             try:
                 return await self._service().handle(request)
@@ -52,24 +57,29 @@
         return retry_later()
 
     async def run(self) -> None:
-        """Holds what is brought on in the background; whatever ends it leaves runs that anyone can take up."""
+        """Hold the nursery in which runs are advanced. However this ends, any node can resume the runs."""
         try:
             async with trio.open_nursery() as self._nursery:
                 await trio.sleep_forever()
         finally:
-            self._nursery = self._made = None
+            self._nursery = self._created_service = None
 
     async def run_while_leading(self, term: Term) -> None:
-        """Take up runs that lie still (their node died, or was cut off, before it was through), and run what is due."""
-        lying: set[str] = set()
+        """Resume abandoned runs and start the runs that are due by schedule, every RUN_SCAN_INTERVAL_S.
+
+        A run that is pending in two scans in a row counts as abandoned: its node died or was cut off before it was
+        through. If the state service does not answer, the next scan tries again.
+        """
+        pending_before: set[str] = set()  # keys that the scan before found
         while not term.over:
             try:
-                _, pairs = await self._core.state.read_all(keys.TODO)
+                _, pairs = await self._core.state.read_all(keys.PENDING)
                 found = {pair.key for pair in pairs}
                 if found:
-                    self._service().take_up(found & lying)
+                    self._service().resume_runs(found & pending_before)
                     await self._service().run_due(pairs)
-                lying = found
+                pending_before = found
+
             except (NotExecuted, OutcomeUnknown):
                 pass
             await trio.sleep(c.RUN_SCAN_INTERVAL_S)
--- a/pepperlatch/pipelines/keys.py
+++ b/pepperlatch/pipelines/keys.py
@@ -1,9 +1,9 @@
-"""Where the records of pipelines stand in the state service. Written by `runs` and `schedules` alone."""
+"""Keys and key prefixes of pipelines in the state service. Only `runs` and `schedules` write them."""
 
 PREFIX = "p/"
 RUN = "p/run/"  # name of the run -> RunRecord
-PIECE = "p/piece/"  # of a plan that its run's own value cannot hold
-TODO = "p/todo/"  # what the leader looks at, one request for all
-OPEN = "p/todo/run/"  # runs with something left to do
-CRON = "p/todo/cron/"  # name of a pipeline -> ScheduleRecord
-SCHEDULED = "p/scheduled/"  # pieces of the plan that a schedule runs
+PLAN_PIECE = "p/piece/"  # pieces of plans that are too large for the run's own value
+PENDING = "p/todo/"  # all that the leader scans for, in one request
+PENDING_RUN = "p/todo/run/"  # names of the runs with jobs still to create or cancel
+SCHEDULE = "p/todo/cron/"  # name of a pipeline -> ScheduleRecord
+SCHEDULE_PIECE = "p/scheduled/"  # pieces of the plans that schedules run
--- a/pepperlatch/pipelines/runs.py
+++ b/pepperlatch/pipelines/runs.py
@@ -1,8 +1,8 @@
-"""What is recorded of a run, and the next transaction that brings it on. Pure: no I/O, no clock.
+"""The stored record of a run, and the transactions that advance it. Pure: no I/O, no clock.
 
-A run is written down before the first of its jobs, and every transaction that creates some of them is conditional
-on the run's version: once it is cancelled or refused no further job can come, not even by a transaction that was
-held up. Which jobs are there the state service alone says, so whoever resumes a run asks that and goes on.
+A run is recorded before the first of its jobs, and every transaction that creates jobs is conditional on the version
+of the run's record: once the run is cancelled or refused no further job can be created, not even by a delayed
+transaction. Only the state service knows which jobs exist, so a node that resumes a run reads that first.
 
     open -> sent | refusing | cancelling;  sent -> cancelling;  refusing -> refused;  cancelling -> cancelled
 """
@@ -18,85 +18,97 @@
 from pepperlatch.constants import core
 from pepperlatch.constants import pipelines as c
 from pepperlatch.controller import store
-from pepperlatch.pipelines.keys import OPEN, PIECE, RUN
+from pepperlatch.pipelines.keys import PENDING_RUN, PLAN_PIECE, RUN
 from pepperlatch.protocol import wire
 from pepperlatch.settings import StateLimits
 
 
 class Phase(str, Enum):
+    """Phase of a run; the values are stored and shown to users."""
+
     OPEN = "open"  # jobs are still to be created
-    SENT = "sent"  # all are
-    REFUSING = "refusing"  # those created are being withdrawn
+    SENT = "sent"  # all jobs are created
+    REFUSING = "refusing"  # a job was refused, and those created are being cancelled
     REFUSED = "refused"
-    CANCELLING = "cancelling"
+    CANCELLING = "cancelling"  # a user cancelled the run, and its jobs are being cancelled
     CANCELLED = "cancelled"
 
 
-PENDING = (Phase.OPEN, Phase.REFUSING, Phase.CANCELLING)
-WITHDRAWN = {Phase.REFUSING: Phase.REFUSED, Phase.CANCELLING: Phase.CANCELLED}  # once none of its jobs is left
+# Phases in which jobs are still to be created or cancelled.
+PENDING_PHASES = (Phase.OPEN, Phase.REFUSING, Phase.CANCELLING)
+# The phase that follows once the run's jobs are cancelled.
+PHASE_AFTER_CANCELLATION = {Phase.REFUSING: Phase.REFUSED, Phase.CANCELLING: Phase.CANCELLED}
 
 
 class RunRecord(msgspec.Struct, omit_defaults=True):
-    """Grows by optional fields only."""
+    """The stored record of a run. It only ever gains optional fields, since two versions run during a rollout."""
 
     phase: Phase
-    digest: str
-    at: float  # s; time of day when it was recorded, by the clock of the node that did
-    plan: str = ""  # packed
-    pieces: int = 0  # below `PIECE`, that hold it instead
+    digest: str  # of the plan's content (`plan.digest`)
+    at: float  # s; time of day when it was recorded, by the recording node's clock
+    plan: str = ""  # packed; empty if it is stored in pieces
+    pieces: int = 0  # number of pieces below `PLAN_PIECE` that hold the packed plan instead of `plan`
     reason: str = ""  # why it was refused
 
 
 @dataclass(slots=True)
-class Change:
-    """A transaction: what must hold, and what is written; `ids`: the jobs that it creates."""
+class Transaction:
+    """A transaction of the state service: conditions and writes. `job_ids`: the jobs that it creates."""
 
-    when: list[dict[str, Any]]
+    conditions: list[dict[str, Any]]
     writes: list[dict[str, Any]]
-    ids: list[str]
+    job_ids: list[str]
+
 
+def record_run(run_name: str, digest: str, packed: str, at: float, value_kb: float) -> Transaction:
+    """Record a run with its plan, so that any node can advance it.
 
-def record(run_name: str, digest: str, packed: str, at: float, value_kb: float) -> Change:
-    """Write a run down, with all that it takes to go on by anybody."""
+    `at`: time of day in seconds. `value_kb`: the state service's limit of a value in KiB.
+    """
     size = int(value_kb * 1024) - core.JOB_RECORD_OVERHEAD_BYTES
     pieces = store.split_text(packed, size) if len(packed) > size else []
     run = RunRecord(Phase.OPEN, digest, at, "" if pieces else packed, len(pieces))
-    writes = [put_run(run_name, run), wire.put(OPEN + run_name, {})]
-    writes += [wire.put(f"{PIECE}{run_name}/{n}", {"text": text}) for n, text in enumerate(pieces)]
-    return Change([wire.version_condition(RUN + run_name, 0)], writes, [])
+    writes = [put_run(run_name, run), wire.put(PENDING_RUN + run_name, {})]
+    writes += [wire.put(f"{PLAN_PIECE}{run_name}/{n}", {"text": text}) for n, text in enumerate(pieces)]
+    return Transaction([wire.version_condition(RUN + run_name, 0)], writes, [])
+
 
+def create_jobs(
+    run_name: str, version: int, missing: Collection[wire.JobSpec], at: float, limits: StateLimits, max_changes: int
+) -> Transaction:
+    """Create the next of a run's missing jobs: as many as fit into `max_changes` changes, but at least one.
 
-def create(
-    run_name: str, version: int, missing: Collection[wire.JobSpec], at: float, limits: StateLimits, most: int
-) -> Change:
-    """The next jobs of a run, at least one, at most so many changes; the rest stays for the next time."""
-    when = [wire.version_condition(RUN + run_name, version)]
+    The remaining jobs are left to the next transaction. `version`: of the run's record. `at`: the submission's time of
+    day in seconds that is stored with the jobs.
+    """
+    conditions = [wire.version_condition(RUN + run_name, version)]
     writes: list[dict[str, Any]] = []
-    ids: list[str] = []
+    job_ids: list[str] = []
     size = 0
     for spec in missing:
         parts = store.description_parts(spec, limits.value_kb)
         changes = store.creation_changes(spec, parts, at, run_name)
         size += sum(len(orjson.dumps(change)) for change in changes)
-        if ids and (len(writes) + len(changes) > min(most, limits.txn_ops) or size > core.MAX_TXN_BYTES):
+        if job_ids and (len(writes) + len(changes) > min(max_changes, limits.txn_ops) or size > core.MAX_TXN_BYTES):
             break
-        when.append(wire.version_condition(store.JOB + spec.id, 0))
+        conditions.append(wire.version_condition(store.JOB + spec.id, 0))
         writes += changes
-        ids.append(spec.id)
-    return Change(when, writes, ids)
+        job_ids.append(spec.id)
+    return Transaction(conditions, writes, job_ids)
 
 
-def moved(run_name: str, run: RunRecord, version: int, phase: Phase, reason: str = "") -> Change:
-    """To another phase; what has something left to do is kept where the leader looks."""
-    after = msgspec.structs.replace(run, phase=phase, reason=reason[: c.MAX_REASON_CHARS] or run.reason)
-    mark = wire.put(OPEN + run_name, {}) if phase in PENDING else wire.delete(OPEN + run_name)
-    return Change([wire.version_condition(RUN + run_name, version)], [put_run(run_name, after), mark], [])
+def change_phase(run_name: str, run: RunRecord, version: int, phase: Phase, reason: str = "") -> Transaction:
+    """Set a run's phase. Its key below `PENDING_RUN`, where the leader finds it, exists in pending phases only."""
+    updated = msgspec.structs.replace(run, phase=phase, reason=reason[: c.MAX_REASON_CHARS] or run.reason)
+    marker = wire.put(PENDING_RUN + run_name, {}) if phase in PENDING_PHASES else wire.delete(PENDING_RUN + run_name)
+    return Transaction([wire.version_condition(RUN + run_name, version)], [put_run(run_name, updated), marker], [])
 
 
 def put_run(run_name: str, run: RunRecord) -> dict[str, Any]:
+    """The write that stores a run's record."""
     return wire.put(RUN + run_name, wire.to_plain(run))
 
 
-def changes_of(packed: str, value_kb: float) -> int:
-    """How many changes it takes to record a plan of this size."""
-    return len(record("", "", packed, 0.0, value_kb).writes)
+def count_record_writes(packed: str, value_kb: float) -> int:
+    """How many writes it takes to record a run with this plan; `value_kb` as in `record_run`."""
+    return len(record_run("", "", packed, 0.0, value_kb).writes)
--- a/pepperlatch/pipelines/schedules.py
+++ b/pepperlatch/pipelines/schedules.py
@@ -1,8 +1,9 @@
-"""When a scheduled pipeline is due, and what is recorded of it. Pure: the time of day is an argument.
+"""When a scheduled pipeline is due, and the transactions on its record. Pure: the time of day is an argument.
 
-Cron expressions by cronsim, in a named time zone of the tz database: a due time in the hour that clocks skip comes at
-the end of that hour; one in the hour that comes twice comes in the first, unless the expression asks for every hour
-or several of each. What has been dealt with is recorded as a due time, so a clock that is set back fires nothing twice.
+cronsim evaluates the cron expressions in a named time zone of the tz database. A due time in the hour that clocks skip
+in spring moves to the end of that hour. A due time in the hour that occurs twice in autumn comes in the first of the
+two, unless the expression asks for every hour or for several times in each. The record holds the latest due time that
+was handled, so nothing is started twice when a clock is set back.
 """
 
 from collections.abc import Iterator
@@ -16,33 +17,33 @@
 from pepperlatch.constants import core
 from pepperlatch.constants import pipelines as c
 from pepperlatch.controller import store
-from pepperlatch.pipelines.keys import CRON, SCHEDULED
-from pepperlatch.pipelines.runs import Change
+from pepperlatch.pipelines.keys import SCHEDULE, SCHEDULE_PIECE
+from pepperlatch.pipelines.runs import Transaction
 from pepperlatch.protocol import wire
 
 
 class Schedule(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True):
-    """As it is asked for. `missed`: what becomes of due times that nobody was there for."""
+    """A schedule as a user asks for it. `missed`: whether the latest due time missed in an outage is run or skipped."""
 
     cron: str
     timezone: str
     missed: Literal["run", "skip"] = "run"
 
 
-class ScheduleRecord(msgspec.Struct, omit_defaults=True):
-    """Grows by optional fields only."""
+class ScheduleRecord(msgspec.Struct, omit_defaults=True, rename={"handled_until": "after"}):
+    """The stored record of a schedule. It only ever gains optional fields, since two versions run during a rollout."""
 
     cron: str
     timezone: str
     missed: str
-    digest: str  # of the plan
-    pieces: int  # below `SCHEDULED`, that hold it
-    after: float  # s; every due time up to this time of day has been dealt with
+    digest: str  # of the plan's content (`plan.digest`)
+    pieces: int  # number of pieces below `SCHEDULE_PIECE` that hold the packed plan
+    handled_until: float  # s; every due time up to this time of day has been handled
     paused: bool = False
 
 
-def problem(cron: str, timezone: str) -> tuple[str, str] | None:
-    """The field that is wrong, and why; None if there is a next due time."""
+def find_problem(cron: str, timezone: str) -> tuple[str, str] | None:
+    """The name of the field that is wrong, and why; None if the schedule is valid and ever due."""
     try:
         zone = ZoneInfo(timezone)
     except (KeyError, ValueError, OSError):
@@ -61,29 +62,33 @@
     return next(CronSim(cron, datetime.fromtimestamp(after, ZoneInfo(timezone)))).timestamp()
 
 
-def _back(record: ScheduleRecord, now: float) -> Iterator[float]:
-    """Due times up to `now` that have not been dealt with, latest first."""
+def _unhandled_due_times(record: ScheduleRecord, now: float) -> Iterator[float]:
+    """Due times up to `now` (time of day in seconds) that have not been handled, latest first."""
     begin = datetime.fromtimestamp(int(now), ZoneInfo(record.timezone)) + timedelta(seconds=1)
     for due in CronSim(record.cron, begin, reverse=True):
-        if due.timestamp() <= record.after:
+        if due.timestamp() <= record.handled_until:
             return
         if due.timestamp() <= now:
             yield due.timestamp()
 
 
-def due(record: ScheduleRecord, now: float) -> list[float]:
-    """What is to be run now, in order: due times just past, or else the latest that was missed, if it is to be run."""
+def due_times(record: ScheduleRecord, now: float) -> list[float]:
+    """The due times that are to be run now, earliest first; all times of day in seconds.
+
+    These are the unhandled ones of the last MISSED_AFTER_S. If there are none, it is the latest missed one, unless the
+    schedule skips missed ones.
+    """
     if record.paused:
         return []
     found: list[float] = []
-    for at in _back(record, now):
+    for at in _unhandled_due_times(record, now):
         if now - at > c.MISSED_AFTER_S:
             return found[::-1] or ([at] if record.missed == "run" else [])
         found.append(at)
     return found[::-1]
 
 
-def stamp(at: float) -> str:
+def run_key(at: float) -> str:
     """The key of the run of this due time, in UTC: `2026-12-01T04:00Z`."""
     return datetime.fromtimestamp(at, UTC).strftime("%Y-%m-%dT%H:%MZ")
 
@@ -91,20 +96,31 @@
 # --- records --------------------------------------------------------------------------------------
 
 
-def kept(name: str, version: int, record: ScheduleRecord, packed: str, held: int, value_kb: float) -> Change:
-    """Write a schedule down with its plan; `held`: pieces of the one that it replaces."""
+def put_schedule(
+    name: str, version: int, record: ScheduleRecord, packed: str, old_pieces: int, value_kb: float
+) -> Transaction:
+    """Store a schedule with its packed plan.
+
+    `version`: of the record that it replaces, 0 if there is none; `old_pieces`: number of that one's pieces.
+    `value_kb`: the state service's limit of a value in KiB.
+    """
+
     pieces = store.split_text(packed, int(value_kb * 1024) - core.VALUE_OVERHEAD_BYTES)
     record = msgspec.structs.replace(record, pieces=len(pieces))
-    writes = [wire.put(CRON + name, wire.to_plain(record))]
-    writes += [wire.put(f"{SCHEDULED}{name}/{n}", {"text": text}) for n, text in enumerate(pieces)]
-    writes += [wire.delete(f"{SCHEDULED}{name}/{n}") for n in range(len(pieces), held)]
-    return Change([wire.version_condition(CRON + name, version)], writes, [])
+    writes = [wire.put(SCHEDULE + name, wire.to_plain(record))]
+    writes += [wire.put(f"{SCHEDULE_PIECE}{name}/{n}", {"text": text}) for n, text in enumerate(pieces)]
+    writes += [wire.delete(f"{SCHEDULE_PIECE}{name}/{n}") for n in range(len(pieces), old_pieces)]
+    return Transaction([wire.version_condition(SCHEDULE + name, version)], writes, [])
 
 
-def moved(name: str, version: int, record: ScheduleRecord) -> Change:
-    return Change([wire.version_condition(CRON + name, version)], [wire.put(CRON + name, wire.to_plain(record))], [])
+def update_schedule(name: str, version: int, record: ScheduleRecord) -> Transaction:
+    """Replace a schedule's record, not its plan. `version`: of the record that is replaced."""
+    return Transaction(
+        [wire.version_condition(SCHEDULE + name, version)], [wire.put(SCHEDULE + name, wire.to_plain(record))], []
+    )
 
 
-def removed(name: str, version: int, record: ScheduleRecord) -> Change:
-    writes = [wire.delete(CRON + name)] + [wire.delete(f"{SCHEDULED}{name}/{n}") for n in range(record.pieces)]
-    return Change([wire.version_condition(CRON + name, version)], writes, [])
+def remove_schedule(name: str, version: int, record: ScheduleRecord) -> Transaction:
+    """Delete a schedule with its plan; runs that it started go on."""
+    writes = [wire.delete(SCHEDULE + name)] + [wire.delete(f"{SCHEDULE_PIECE}{name}/{n}") for n in range(record.pieces)]
+    return Transaction([wire.version_condition(SCHEDULE + name, version)], writes, [])
