--- a/pepperlatch/command/__init__.py
+++ b/pepperlatch/command/__init__.py
@@ -1,1 +1,1 @@
-"""The command line; what is heavy is imported by the subcommand that needs it."""
+"""The command line. Each subcommand imports what it needs itself, so that the others start fast."""
--- a/pepperlatch/command/console.py
+++ b/pepperlatch/command/console.py
@@ -1,4 +1,4 @@
-"""`pepperlatch console` and `pepperlatch report`: the options read, the copy made, one of the faces shown."""
+"""`pepperlatch console` and `pepperlatch report`: fetch the jobs that the service shows and present them."""
 
 import sys
 from datetime import tzinfo
@@ -9,7 +9,7 @@
 import trio
 
 from pepperlatch.command import output
-from pepperlatch.command.service import OK, REFUSED, NoAnswer, Service
+from pepperlatch.command.retrying_client import OK, REFUSED, NoAnswer, RetryingClient
 from pepperlatch.console import picture
 from pepperlatch.console.feed import Feed, Shown, Wants
 from pepperlatch.console.mirror import Ask, Mirror, Refused, Silent
@@ -19,8 +19,11 @@
 from pepperlatch.protocol.http.client import HttpNetwork
 
 
-def zone_of(name: str) -> tzinfo | None:
-    """None: the machine's own. Raises ValueError for a zone that the tz database does not have."""
+def time_zone(name: str) -> tzinfo | None:
+    """The named time zone; None, which stands for the machine's own, for an empty name.
+
+    Raises ValueError for a zone that the tz database does not have.
+    """
     if not name:
         return None
     try:
@@ -29,40 +32,50 @@
         raise ValueError(f"{name}: no such time zone") from None
 
 
-def _request_function(talk: Any, timeout_s: float, say: Any) -> Ask:
-    """Compressed answers, one node after the other; what cannot be had is said by the mirror's own exceptions."""
+def _request_function(client: Any, timeout_s: float, report_retry: Any) -> Ask:
+    """The function through which a `Mirror` sends requests: tries the client's nodes in turn for `timeout_s` seconds.
+
+    Answers may be compressed. It raises Silent if no node gives a final response in time.
+    """
     network = HttpNetwork(core.MAX_CLIENT_CONNECTIONS, gzip=True)
-    service = Service(talk.service.nodes, timeout_s, say, network)
+    http = RetryingClient(client.http.nodes, timeout_s, report_retry, network)
 
-    async def ask(method: str, path: str) -> tuple[int, Any]:
+    async def request(method: str, path: str) -> tuple[int, Any]:
         try:
-            return await service.ask(method, path)
+            return await http.request(method, path)
         except NoAnswer as error:
             raise Silent(str(error)) from None
 
-    return ask
+    return request
+
 
+def run_console(client: Any, filter_text: str, zone_name: str, once: bool) -> int:
+    """Show the jobs that match the filter until the viewer quits, or print them once; returns the exit code.
 
-def watch(talk: Any, words: str, zone_name: str, once: bool) -> int:
-    """Until the viewer quits, or once as a plain table."""
+    Raises ValueError for a wrong filter or time zone, and with `once` as `_print_once`.
+    """
     try:
         from pepperlatch.console.terminal import read_filter, run
     except ImportError:
-        output.say("the console needs more libraries: pip install 'pepperlatch[console]'")
+        output.print_message("the console needs more libraries: pip install 'pepperlatch[console]'")
         return REFUSED
-    zone = zone_of(zone_name)
-    query = read_filter(words)
+    zone = time_zone(zone_name)
+    query = read_filter(filter_text)
     if once:
-        return _once(talk, Mirror(_request_function(talk, talk.service.timeout_s, output.say), query), zone)
+        return _print_once(
+            client, Mirror(_request_function(client, client.http.timeout_s, output.print_message), query), zone
+        )
     if not sys.stdout.isatty():
-        output.say("not a terminal: use --once")
+        output.print_message("not a terminal: use --once")
         return REFUSED
-    mirror = Mirror(_request_function(talk, c.STALE_AFTER_S / 2, lambda text: None), query)
+    mirror = Mirror(_request_function(client, c.STALE_AFTER_S / 2, lambda text: None), query)
     run(lambda show: Feed(mirror, Wants(query), show), zone)
     return OK
 
 
-def _once(talk: Any, mirror: Mirror, zone: tzinfo | None) -> int:
+def _print_once(client: Any, mirror: Mirror, zone: tzinfo | None) -> int:
+    """Print the jobs, as a table or as JSON. Raises Silent or Refused, or NoAnswer if nothing could be fetched."""
+
     async def look() -> Shown:
         await mirror.complete()
         return await Feed(mirror, Wants(mirror.query), lambda shown: None).look()
@@ -70,43 +83,47 @@
     shown = trio.run(look)
     if not shown.head:
         raise NoAnswer(shown.stale)
-    if talk.form == "json":
-        output.json({**shown.head, "stale": shown.stale, "jobs": plain(shown.rows), **shown.overview})
+    if client.output_format == "json":
+        output.print_json({**shown.head, "stale": shown.stale, "jobs": plain(shown.rows), **shown.overview})
         return OK
-    output.say(f"{picture.day_and_moment(shown.now, zone)}: {picture.headline(shown.overview)}")
+    output.print_message(f"{picture.day_and_moment(shown.now, zone)}: {picture.headline(shown.overview)}")
     if shown.stale:
-        output.say(f"stale: {shown.stale}")
-    output.table(picture.JOB_COLUMNS, [picture.job_cells(row, shown.now) for row in shown.rows])
+        output.print_message(f"stale: {shown.stale}")
+    output.print_table(picture.JOB_COLUMNS, [picture.job_cells(row, shown.now) for row in shown.rows])
     return OK
 
 
-def report(talk: Any, file: str, zone_name: str, members: bool, teams: tuple[str, ...], names: bool) -> int:
-    """Write the page; an existing file is replaced whole or not at all."""
+def report(client: Any, file: str, zone_name: str, members: bool, teams: tuple[str, ...], names: bool) -> int:
+    """Write the page to a file, `-` for standard output; returns the exit code. Raises NoAnswer.
+
+    An existing file is replaced whole or not at all. With `members` the page holds jobs only: those of `teams`, or
+    of all teams if that is empty, with other words in place of their names unless `names`.
+    """
     try:
-        from pepperlatch.console import report as page
+        from pepperlatch.console import report as report_page
     except ImportError:
-        output.say("the report needs more libraries: pip install 'pepperlatch[console]'")
+        output.print_message("the report needs more libraries: pip install 'pepperlatch[console]'")
         return REFUSED
     from pepperlatch.console.public import Hidden
 
-    zone = zone_of(zone_name)
-    mirror = Mirror(_request_function(talk, talk.service.timeout_s, output.say))
+    zone = time_zone(zone_name)
+    mirror = Mirror(_request_function(client, client.http.timeout_s, output.print_message))
     try:
-        content = trio.run(page.gather, mirror, 0 if members else c.MAX_REPORT_TIMELINES)
+        content = trio.run(report_page.gather, mirror, 0 if members else c.MAX_REPORT_TIMELINES)
     except Silent as error:
         raise NoAnswer(str(error)) from None
     except (Refused, BadQuery) as error:
-        output.say(str(error))
+        output.print_message(str(error))
         return REFUSED
     if members:
-        content = page.for_members(content, Hidden(names, list(teams)))
-    text = page.render(content, zone)
+        content = report_page.for_members(content, Hidden(names, list(teams)))
+    text = report_page.render(content, zone)
     if file == "-":
         print(text)
         return OK
     target = Path(file)
-    beside = target.with_name(target.name + ".part")
-    beside.write_text(text, "utf-8")
-    beside.replace(target)
-    output.say(f"{file}: {len(content.rows)} jobs, {len(text.encode('utf-8')) / 1000:.0f} KB")
+    temporary = target.with_name(target.name + ".part")
+    temporary.write_text(text, "utf-8")
+    temporary.replace(target)
+    output.print_message(f"{file}: {len(content.rows)} jobs, {len(text.encode('utf-8')) / 1000:.0f} KB")
     return OK
--- a/pepperlatch/command/serve.py
+++ b/pepperlatch/command/serve.py
@@ -1,4 +1,4 @@
-"""Runs a controller. Imports nothing that a controller does not need, and nothing that is off."""
+"""Runs a controller. Imports neither what a controller does not need nor features that are switched off."""
 
 import os
 import sys
@@ -12,7 +12,11 @@
 
 
 def serve(path: str, features_path: Path | None = None) -> int:
-    """Run a controller until something kills it; 2 if a file cannot be used."""
+    """Run a controller until its process is ended; returns exit code 2 at once if a file cannot be used.
+
+    Called by `run.py` and `pepperlatch serve`. `path` is the settings file; without `features_path` every optional
+    feature is off. An error is printed to standard error, since logging is not configured yet.
+    """
     from pepperlatch import features, logs
     from pepperlatch.settings import SettingsError, load
 
@@ -22,7 +26,7 @@
         print(f"settings {path}: {error}", file=sys.stderr)
         return 2
     try:
-        wanted = features.load(features_path) if features_path is not None else features.Features()
+        enabled = features.load(features_path) if features_path is not None else features.Features()
     except features.FeaturesError as error:
         print(f"features {features_path}: {error}", file=sys.stderr)
         return 2
@@ -32,22 +36,22 @@
 
     from pepperlatch.controller import daemon
 
-    def made(node: daemon.Node) -> None:
+    def add_token_to_logs(node: daemon.Node) -> None:
         context.token = lambda: node.leadership.term.token if node.leadership.term is not None else None
 
-    trio.run(daemon.serve, settings, _parts(wanted), made)
+    trio.run(daemon.serve, settings, _extensions(enabled), add_token_to_logs)
     return 0
 
 
-def _parts(wanted: "Features") -> "list[Callable[[ExtensionContext], Extension]]":
-    """What is switched on; the rest is not even imported."""
-    parts: list[Callable[[ExtensionContext], Extension]] = []
-    if wanted.pipelines.on:
+def _extensions(enabled: "Features") -> "list[Callable[[ExtensionContext], Extension]]":
+    """Constructors of the features that are switched on; the modules of the others are not imported."""
+    extensions: list[Callable[[ExtensionContext], Extension]] = []
+    if enabled.pipelines.on:
         from pepperlatch.pipelines.part import Pipelines
 
-        parts.append(lambda core: Pipelines(core, wanted.pipelines))
-    if wanted.console.on:
+        extensions.append(lambda context: Pipelines(context, enabled.pipelines))
+    if enabled.console.on:
         from pepperlatch.console.part import Console
 
-        parts.append(lambda core: Console(core, wanted.console))
-    return parts
+        extensions.append(lambda context: Console(context, enabled.console))
+    return extensions
